--- a/src/main/java/org/sandford/machine/CommandChannel.java
+++ b/src/main/java/org/sandford/machine/CommandChannel.java
@@ -7,53 +7,53 @@
  * one at a time, probes beside them. Runs on the event loop.
  */
 final class CommandChannel {
-  private final LastTime reconcileTried = new LastTime();
+  private final LastTime lastReconcileAttempt = new LastTime();
   private boolean busy;
   private boolean probing;
-  private int failures;
+  private int consecutiveFailures;
 
   /** Whether a command or a reconciliation is under way. */
   boolean isBusy() {
     return busy;
   }
 
-  void begin() {
+  void beginCall() {
     busy = true;
   }
 
-  void end() {
+  void endCall() {
     busy = false;
   }
 
   /** Takes in that a reconciliation is tried now. */
-  void reconcileTried(long now) {
-    reconcileTried.mark(now);
+  void recordReconcileAttempt(long now) {
+    lastReconcileAttempt.mark(now);
   }
 
   boolean isReconcileDue(long now) {
-    return reconcileTried.isOlderThanMs(MachineConstants.RECONCILE_RETRY_MS, now);
+    return lastReconcileAttempt.isOlderThanMs(MachineConstants.RECONCILE_RETRY_MS, now);
   }
 
   /** Takes in that a command was answered. */
-  void succeeded() {
-    failures = 0;
+  void recordSuccess() {
+    consecutiveFailures = 0;
   }
 
   /** Takes in that a command did not get through, or was not answered. */
-  void failed() {
-    failures++;
+  void recordFailure() {
+    consecutiveFailures++;
   }
 
   /** Whether commands go with the responses to heartbeats, since calls to the worker fail. */
   boolean isBroken() {
-    return failures >= MachineConstants.BROKEN_AFTER_FAILED_COMMANDS;
+    return consecutiveFailures >= MachineConstants.BROKEN_AFTER_FAILED_COMMANDS;
   }
 
   boolean isProbing() {
     return probing;
   }
 
-  void setProbing(boolean underWay) {
-    probing = underWay;
+  void setProbing(boolean inProgress) {
+    probing = inProgress;
   }
 }
--- a/src/main/java/org/sandford/machine/CommandDispatcher.java
+++ b/src/main/java/org/sandford/machine/CommandDispatcher.java
@@ -51,13 +51,13 @@
       return;
     }
     ArrayNode commands = machine.takeCommands(WorkerChannel.COMMAND, mayStart, now);
-    List<TaskEntry> starts = machine.tasks().commandedStarts();
-    machine.channel().begin();
+    List<TaskEntry> starts = machine.tasks().startsAwaitingReply();
+    machine.channel().beginCall();
     workers.sendCommands(machine, commands, reply -> onReply(machine, starts, reply));
   }
 
   private void onReply(Machine machine, List<TaskEntry> starts, Reply reply) {
-    machine.channel().end();
+    machine.channel().endCall();
     if (!machines.isCurrent(machine)) {
       return;
     }
@@ -66,7 +66,7 @@
       case 409, 400, Reply.NOT_SENT -> onNotCarriedOut(machine, starts, reply);
       default -> onUnknownOutcome(machine, starts);
     }
-    workers.apply(machine, reply);
+    workers.applyReply(machine, reply);
     if (!reply.ok()) {
       publisher.markChanged(machine);
     }
@@ -74,7 +74,7 @@
   }
 
   private static void onCarriedOut(Machine machine, List<TaskEntry> starts) {
-    machine.channel().succeeded();
+    machine.channel().recordSuccess();
     for (TaskEntry entry : starts) {
       if (entry.isCommandSent()) {
         entry.confirmStart();
@@ -84,9 +84,9 @@
 
   /** Nothing was carried out, nor will it be. */
   private void onNotCarriedOut(Machine machine, List<TaskEntry> starts, Reply reply) {
-    machine.tasks().removeCommanded(starts);
+    machine.tasks().removeStartsAwaitingReply(starts);
     if (reply.status() == Reply.NOT_SENT) {
-      machine.channel().failed();
+      machine.channel().recordFailure();
     }
     machine.transitionTo(
         MachineState.RECONCILING, StateChangeReason.commandsNotAccepted(reply.status()));
@@ -94,8 +94,8 @@
   }
 
   private void onUnknownOutcome(Machine machine, List<TaskEntry> starts) {
-    machine.markUnconfirmed(starts);
-    machine.channel().failed();
+    machine.markStartsUnconfirmed(starts);
+    machine.channel().recordFailure();
     machine.transitionTo(MachineState.RECONCILING, StateChangeReason.COMMANDS_UNANSWERED);
     reconciler.reconcileLater(machine);
   }
--- a/src/main/java/org/sandford/machine/CommandScheduler.java
+++ b/src/main/java/org/sandford/machine/CommandScheduler.java
@@ -16,8 +16,8 @@
   }
 
   /** Names who dispatches; called once, before anything is scheduled. */
-  void start(Consumer<Machine> to) {
-    dispatcher = to;
+  void setDispatcher(Consumer<Machine> machineDispatcher) {
+    dispatcher = machineDispatcher;
   }
 
   void schedule(Machine machine) {
--- a/src/main/java/org/sandford/machine/FencingTokens.java
+++ b/src/main/java/org/sandford/machine/FencingTokens.java
@@ -38,17 +38,17 @@
   }
 
   /** Takes in the highest token that the worker has seen. */
-  void seenByWorker(long token) {
+  void recordSeenToken(long token) {
     seenToken = Math.max(seenToken, token);
   }
 
   /** Whether the worker has seen the token that voids what may still be under way. */
-  boolean isSettled() {
+  boolean isRequiredTokenSeen() {
     return seenToken >= requiredToken;
   }
 
   /** Whether the worker has seen a token of this generation, which voids any former owner's. */
-  boolean isOwned() {
+  boolean isGenerationSeen() {
     return seenToken >= generation * MachineConstants.TOKENS_PER_GENERATION;
   }
 
--- a/src/main/java/org/sandford/machine/Heartbeat.java
+++ b/src/main/java/org/sandford/machine/Heartbeat.java
@@ -9,7 +9,7 @@
  * A worker's heartbeat with the status of its machine.
  *
  * @param address host and port at which the worker takes commands; empty when it names none
- * @param kind the machine's instance type
+ * @param instanceType the machine's instance type
  * @param spot whether the cloud may take the machine back
  * @param agentEpoch the incarnation of the worker's agent; a later one begins without tasks
  * @param serial rises with each message of one agent epoch
@@ -19,7 +19,7 @@
 record Heartbeat(
     String machine,
     String address,
-    String kind,
+    String instanceType,
     String zone,
     boolean spot,
     long agentEpoch,
--- a/src/main/java/org/sandford/machine/HeartbeatHandler.java
+++ b/src/main/java/org/sandford/machine/HeartbeatHandler.java
@@ -23,7 +23,7 @@
   private final Cancellations cancellations;
   private final MachineRegistry machines;
   private final MachineAnnouncer announcer;
-  private final HeartbeatProcessor heartbeats;
+  private final HeartbeatProcessor processor;
 
   HeartbeatHandler(
       EventLoop loop,
@@ -32,14 +32,14 @@
       Cancellations cancellations,
       MachineRegistry machines,
       MachineAnnouncer announcer,
-      HeartbeatProcessor heartbeats) {
+      HeartbeatProcessor processor) {
     this.loop = loop;
     this.settings = settings;
     this.cluster = cluster;
     this.cancellations = cancellations;
     this.machines = machines;
     this.announcer = announcer;
-    this.heartbeats = heartbeats;
+    this.processor = processor;
   }
 
   /**
@@ -62,11 +62,11 @@
     if (machine.isStale(heartbeat)) {
       return ApiResponse.later(503, "a newer report is known", 1);
     }
-    heartbeats.process(machine, heartbeat, WorkerChannel.HEARTBEAT);
+    processor.process(machine, heartbeat, WorkerChannel.HEARTBEAT);
     if (machine.isSuperseded()) {
       return misdirected(heartbeat, assignment);
     }
-    if (!cancellations.mayRenew(machine.tasks().allJobsKnown())) {
+    if (!cancellations.mayRenew(machine.tasks().allJobsConfirmedOpen())) {
       return ApiResponse.later(503, "this controller may not renew leases now", 1);
     }
     return renew(machine);
@@ -75,23 +75,23 @@
   private ApiResponse renew(Machine machine) {
     long now = loop.nanos();
     machine.lease().renew(now);
-    machine.voidRepeatableStarts(now, settings.facts().leaseS() / 2);
+    machine.invalidateRepeatableStarts(now, settings.facts().leaseS() / 2);
     boolean mayStart =
         machine.channel().isBroken()
             && machine.state() == MachineState.UP
             && cluster.sessionLeaseValid();
     ArrayNode commands = machine.takeCommands(WorkerChannel.HEARTBEAT, mayStart, now);
-    return ApiResponse.of(200, WorkerCommands.heartbeatResponse(machine.token(), commands));
+    return ApiResponse.of(200, WorkerCommands.heartbeatResponseBody(machine.token(), commands));
   }
 
   /** The machine is of another shard, or of none yet. */
   private ApiResponse misdirected(Heartbeat heartbeat, MachineAssignment assignment) {
     announcer.announce(heartbeat);
     String owner = assignment == null ? "" : Cluster.labelOf(assignment.owner());
-    ObjectNode answer = Json.object();
+    ObjectNode responseBody = Json.object();
     if (!owner.isEmpty() && !owner.equals(settings.label())) {
-      answer.put("reports_to", owner);
+      responseBody.put("reports_to", owner);
     }
-    return ApiResponse.of(421, answer);
+    return ApiResponse.of(421, responseBody);
   }
 }
--- a/src/main/java/org/sandford/machine/HeartbeatProcessor.java
+++ b/src/main/java/org/sandford/machine/HeartbeatProcessor.java
@@ -36,7 +36,7 @@
     long now = loop.nanos();
     boolean changed = machine.applyHeartbeat(heartbeat, source, now);
     changed |= updateState(machine);
-    changed |= openJobs.describeTasks(machine);
+    changed |= openJobs.applyKnownSpecs(machine);
     endTasksOfTerminalJobs(machine);
     if (changed) {
       publisher.markChanged(machine);
@@ -47,12 +47,12 @@
   }
 
   private static boolean updateState(Machine machine) {
-    boolean obeys =
-        machine.assignment().hasAddress() && machine.isOwned() && !machine.isSuperseded();
-    if (obeys && !machine.isTokenSettled()) {
+    boolean acceptsCommands =
+        machine.assignment().hasAddress() && machine.isGenerationSeen() && !machine.isSuperseded();
+    if (acceptsCommands && !machine.isRequiredTokenSeen()) {
       return machine.transitionTo(MachineState.RECONCILING, StateChangeReason.HEARTBEAT_RECEIVED);
     }
-    if (obeys) {
+    if (acceptsCommands) {
       return machine.isInterruptionNoticed()
           ? machine.transitionTo(
               MachineState.INTERRUPTION_NOTICED, StateChangeReason.INTERRUPTION_NOTICED)
@@ -68,7 +68,9 @@
    */
   private void endTasksOfTerminalJobs(Machine machine) {
     for (TaskEntry entry : machine.tasks().all()) {
-      if (entry.isExitAcknowledged() || entry.isStoppedAtOnce() || !isTerminal.test(entry.job())) {
+      if (entry.isExitAcknowledged()
+          || entry.isImmediateStopRequested()
+          || !isTerminal.test(entry.job())) {
         continue;
       }
       if (entry.isOnMachine()) {
--- a/src/main/java/org/sandford/machine/HeartbeatReader.java
+++ b/src/main/java/org/sandford/machine/HeartbeatReader.java
@@ -24,17 +24,17 @@
       return WorkerMessage.Malformed.MALFORMED;
     }
     List<ReportedTask> tasks = new ArrayList<>();
-    for (JsonNode piece : node.path("pieces")) {
-      TaskId task = TaskId.read(piece.path("piece").asText());
+    for (JsonNode taskNode : node.path("pieces")) {
+      TaskId task = TaskId.read(taskNode.path("piece").asText());
       if (task == null) {
         return WorkerMessage.Malformed.MALFORMED;
       }
       tasks.add(
           new ReportedTask(
               task,
-              piece.path("try").asLong(),
-              state(piece.path("status").asText()),
-              cause(piece.path("exit_cause").asText())));
+              taskNode.path("try").asLong(),
+              state(taskNode.path("status").asText()),
+              cause(taskNode.path("exit_cause").asText())));
     }
     return new Heartbeat(
         node.path("host").asText(),
@@ -49,8 +49,8 @@
         tasks);
   }
 
-  private static TaskState state(String wire) {
-    return switch (wire) {
+  private static TaskState state(String protocolValue) {
+    return switch (protocolValue) {
       // A gang's task that waits for the others holds its resources and does not run yet, like one
       // that pulls its image.
       case "pulling", "gathering" -> TaskState.PULLING_IMAGE;
@@ -61,8 +61,8 @@
     };
   }
 
-  private static ExitCause cause(String wire) {
-    return switch (wire) {
+  private static ExitCause cause(String protocolValue) {
+    return switch (protocolValue) {
       case "" -> ExitCause.NONE;
       case "done" -> ExitCause.DONE;
       // A gang that broke up is the fault of neither the machine nor the job.
--- a/src/main/java/org/sandford/machine/KnownImages.java
+++ b/src/main/java/org/sandford/machine/KnownImages.java
@@ -16,17 +16,17 @@
   private int additions;
 
   /** Takes over what another owner, or another entry of the same machine, knew. */
-  void inherit(Collection<String> others) {
+  void addAll(Collection<String> others) {
     images.addAll(others);
   }
 
   /** Takes over what another entry of the same machine knew. */
-  void inherit(KnownImages other) {
+  void addAll(KnownImages other) {
     images.addAll(other.images);
   }
 
   /** Takes in that a task with this image runs; does nothing while the image is not known. */
-  void used(String image) {
+  void recordUse(String image) {
     if (image.isEmpty()) {
       return;
     }
--- a/src/main/java/org/sandford/machine/LostMachineDetector.java
+++ b/src/main/java/org/sandford/machine/LostMachineDetector.java
@@ -66,7 +66,7 @@
   private void checkLease(Machine machine, long now) {
     if (machine.state() == MachineState.LOST
         && !machine.lease().isExpired()
-        && machine.hasLeaseRunOut(settings.facts(), now)) {
+        && machine.isLeaseExpiryCertain(settings.facts(), now)) {
       log.info(
           "machine lease expired machine={} zone={}", machine.name(), machine.assignment().zone());
       machine.expireLease();
@@ -98,23 +98,23 @@
     if (last != null && now - last <= ScalingConstants.ZONE_PROBE_INTERVAL_MS * 1_000_000L) {
       return;
     }
-    List<Machine> quiet = new ArrayList<>();
+    List<Machine> silentMachines = new ArrayList<>();
     int lost = 0;
     for (Machine machine : machines.all()) {
       if (machine.assignment().zone().equals(zone)) {
         lost += machine.state() == MachineState.LOST ? 1 : 0;
-        if (isHeartbeatExpected(machine) && isQuiet(machine, now)) {
-          quiet.add(machine);
+        if (isHeartbeatExpected(machine) && isSilentForProbeTimeout(machine, now)) {
+          silentMachines.add(machine);
         }
       }
     }
     if (lost >= ScalingConstants.ZONE_PROBE_AFTER_LOST) {
       zoneProbedAt.put(zone, now);
-      quiet.forEach(this::probe);
+      silentMachines.forEach(this::probe);
     }
   }
 
-  private static boolean isQuiet(Machine machine, long now) {
+  private static boolean isSilentForProbeTimeout(Machine machine, long now) {
     return now - machine.lease().lastHeartbeatAt() > MachineConstants.PROBE_TIMEOUT_MS * 1_000_000L;
   }
 
@@ -137,7 +137,7 @@
       return;
     }
     boolean answered =
-        reply.ok() && workers.apply(machine, reply) != WorkerClient.ReplyContent.NO_HEARTBEAT;
+        reply.ok() && workers.applyReply(machine, reply) != WorkerClient.ReplyContent.NO_HEARTBEAT;
     if (!answered
         && machine.lease().lastHeartbeatAt() < requestedAt
         && isHeartbeatExpected(machine)) {
--- a/src/main/java/org/sandford/machine/Machine.java
+++ b/src/main/java/org/sandford/machine/Machine.java
@@ -32,7 +32,7 @@
   private final Reservations reservations = new Reservations();
 
   /** When the token was last raised to void starts whose exit is acknowledged. */
-  private final LastTime startsVoided = new LastTime();
+  private final LastTime startsInvalidated = new LastTime();
 
   private MachineState state;
   private long agentEpoch;
@@ -57,15 +57,15 @@
   Machine reassigned(MachineAssignment next, long now) {
     Machine successor = new Machine(name, next, now);
     successor.agentEpoch = agentEpoch;
-    successor.lease.inherit(lease);
-    successor.images.inherit(images);
+    successor.lease.copyRenewalFrom(lease);
+    successor.images.addAll(images);
     return successor;
   }
 
   /** Takes over what the former owner last reported of images and tasks. */
-  void inherit(MachineSnapshot former) {
-    images.inherit(former.images);
-    former.tasks.forEach(tasks::inherit);
+  void restoreFrom(MachineSnapshot former) {
+    images.addAll(former.images);
+    former.tasks.forEach(tasks::addFormerSnapshot);
   }
 
   String name() {
@@ -131,13 +131,13 @@
   }
 
   /** Whether the worker has seen the token that voids what may still be under way. */
-  boolean isTokenSettled() {
-    return tokens.isSettled();
+  boolean isRequiredTokenSeen() {
+    return tokens.isRequiredTokenSeen();
   }
 
   /** Whether the worker obeys this owner and no former one. */
-  boolean isOwned() {
-    return tokens.isOwned();
+  boolean isGenerationSeen() {
+    return tokens.isGenerationSeen();
   }
 
   /** Whether the worker obeys a later owner. */
@@ -147,7 +147,7 @@
 
   /** Whether the tasks known here are all that the machine holds or may yet be made to hold. */
   boolean isReconciled() {
-    return !assignment.hasAddress() || lease.isExpired() || (isOwned() && !isSuperseded());
+    return !assignment.hasAddress() || lease.isExpired() || (isGenerationSeen() && !isSuperseded());
   }
 
   /** Whether the cloud has announced that it takes the machine back. */
@@ -172,7 +172,7 @@
         && !quarantine.isQuarantined()
         && !draining
         && assignment.hasAddress()
-        && isOwned();
+        && isGenerationSeen();
   }
 
   /** Reserves resources for a job. */
@@ -186,8 +186,8 @@
   }
 
   /** What is reserved for jobs that go before the one to be started. */
-  ReservedResources reservedAheadOf(StartTask start, long now) {
-    return reservations.aheadOf(start, now);
+  ReservedResources reservedByPrecedingJobs(StartTask start, long now) {
+    return reservations.reservedByPrecedingJobs(start, now);
   }
 
   /** Accepts a start; it goes out with the next commands. */
@@ -224,8 +224,8 @@
     boolean newEpoch = heartbeat.agentEpoch() > agentEpoch;
     agentEpoch = heartbeat.agentEpoch();
     lastSerial = heartbeat.serial();
-    tokens.seenByWorker(heartbeat.token());
-    lease.heartbeatReceived(isOwned(), now);
+    tokens.recordSeenToken(heartbeat.token());
+    lease.recordHeartbeat(isGenerationSeen(), now);
     interruptionNoticed = heartbeat.interruptionNoticed();
     boolean tasksChanged = tasks.apply(heartbeat, source, newEpoch, now);
     return tasksChanged
@@ -241,8 +241,8 @@
   }
 
   /** Whether the worker must have killed its tasks by now. */
-  boolean hasLeaseRunOut(Settings.Facts facts, long now) {
-    return lease.hasRunOut(isOwned(), facts.leaseS(), facts.cancelS(), now);
+  boolean isLeaseExpiryCertain(Settings.Facts facts, long now) {
+    return lease.isExpiryCertain(isGenerationSeen(), facts.leaseS(), facts.cancelS(), now);
   }
 
   /**
@@ -252,15 +252,15 @@
    * the acknowledgement: the worker takes in both or neither. No command may be under way, since it
    * would be refused.
    *
-   * @param pauseS seconds that must lie between two raises
+   * @param minIntervalS seconds that must lie between two raises
    */
-  void voidRepeatableStarts(long now, double pauseS) {
-    if (channel.isBusy() || startsVoided.isWithin(pauseS, now)) {
+  void invalidateRepeatableStarts(long now, double minIntervalS) {
+    if (channel.isBusy() || startsInvalidated.isWithin(minIntervalS, now)) {
       return;
     }
     for (TaskEntry entry : tasks.all()) {
       if (entry.isAcknowledgementDue() && entry.isStartRepeatable(token())) {
-        startsVoided.mark(now);
+        startsInvalidated.mark(now);
         tokens.raise();
         return;
       }
@@ -272,18 +272,20 @@
    * without the task comes, and also with the response that first shows the worker a new token,
    * which renews its lease.
    */
-  ArrayNode takeCommands(WorkerChannel route, boolean mayStart, long now) {
+  ArrayNode takeCommands(WorkerChannel workerChannel, boolean mayStart, long now) {
     ArrayNode commands = Json.array();
     for (TaskEntry entry : tasks.all()) {
-      if (mayStart && isOwned() && entry.isStartDue()) {
+      if (mayStart && isGenerationSeen() && entry.isStartDue()) {
         commands.add(WorkerCommands.start(entry.id()));
-        entry.startSent(route, token(), lastSerial);
+        entry.markStartSent(workerChannel, token(), lastSerial);
       } else if (entry.needsStop()) {
-        if (route == WorkerChannel.HEARTBEAT || entry.isStopDue(now)) {
+        if (workerChannel == WorkerChannel.HEARTBEAT || entry.isStopDue(now)) {
           commands.add(WorkerCommands.stop(entry.id(), entry.stopGraceS()));
-          entry.stopSent(now);
+          entry.markStopSent(now);
         }
-      } else if (isOwned() && entry.isAcknowledgementDue() && !entry.isStartRepeatable(token())) {
+      } else if (isGenerationSeen()
+          && entry.isAcknowledgementDue()
+          && !entry.isStartRepeatable(token())) {
         commands.add(WorkerCommands.acknowledgeExit(entry.id()));
       }
     }
@@ -305,11 +307,11 @@
   }
 
   /** Raises the token over starts whose commands went unanswered. */
-  void markUnconfirmed(List<TaskEntry> starts) {
+  void markStartsUnconfirmed(List<TaskEntry> starts) {
     tokens.raiseAndRequire();
     for (TaskEntry entry : starts) {
       if (entry.isCommandSent()) {
-        entry.startUnconfirmed(token());
+        entry.markStartUnconfirmed(token());
       }
     }
   }
--- a/src/main/java/org/sandford/machine/MachineAnnouncer.java
+++ b/src/main/java/org/sandford/machine/MachineAnnouncer.java
@@ -43,7 +43,7 @@
         new MachineDiscovered(
             heartbeat.machine(),
             heartbeat.address(),
-            heartbeat.kind(),
+            heartbeat.instanceType(),
             heartbeat.zone(),
             heartbeat.spot()));
   }
--- a/src/main/java/org/sandford/machine/MachineMonitor.java
+++ b/src/main/java/org/sandford/machine/MachineMonitor.java
@@ -10,7 +10,7 @@
 final class MachineMonitor {
   private final EventLoop loop;
   private final MachineRegistry machines;
-  private final LostMachineDetector lostMachines;
+  private final LostMachineDetector lostMachineDetector;
   private final MachineReconciler reconciler;
   private final SnapshotPublisher publisher;
   private final CommandDispatcher dispatcher;
@@ -19,14 +19,14 @@
   MachineMonitor(
       EventLoop loop,
       MachineRegistry machines,
-      LostMachineDetector lostMachines,
+      LostMachineDetector lostMachineDetector,
       MachineReconciler reconciler,
       SnapshotPublisher publisher,
       CommandDispatcher dispatcher,
       MachineAnnouncer announcer) {
     this.loop = loop;
     this.machines = machines;
-    this.lostMachines = lostMachines;
+    this.lostMachineDetector = lostMachineDetector;
     this.reconciler = reconciler;
     this.publisher = publisher;
     this.dispatcher = dispatcher;
@@ -41,7 +41,7 @@
   private void check() {
     long now = loop.nanos();
     for (Machine machine : machines.all()) {
-      lostMachines.check(machine, now);
+      lostMachineDetector.check(machine, now);
       reconciler.retryIfDue(machine, now);
       if (machine.removeExpiredReservations(now)) {
         publisher.markChanged(machine);
--- a/src/main/java/org/sandford/machine/MachineReconciler.java
+++ b/src/main/java/org/sandford/machine/MachineReconciler.java
@@ -28,11 +28,11 @@
 
   /** Reconciles the machine now, if it needs that and nothing else is under way to it. */
   void reconcile(Machine machine) {
-    if (!isWanted(machine)) {
+    if (!isReconcileAllowed(machine)) {
       return;
     }
-    machine.channel().begin();
-    machine.channel().reconcileTried(loop.nanos());
+    machine.channel().beginCall();
+    machine.channel().recordReconcileAttempt(loop.nanos());
     if (!machine.isAgentEpochKnown()) {
       // Commands name the agent epoch, so it has to be known first.
       workers.requestHeartbeat(
@@ -42,33 +42,33 @@
     }
   }
 
-  private boolean isWanted(Machine machine) {
-    boolean unsettled =
+  private boolean isReconcileAllowed(Machine machine) {
+    boolean needsReconcile =
         machine.state() == MachineState.RECONCILING || machine.state() == MachineState.LOST;
     return machines.isCurrent(machine)
-        && unsettled
+        && needsReconcile
         && !machine.channel().isBusy()
         && machine.assignment().hasAddress()
         && cluster.sessionLeaseValid();
   }
 
   private void onHeartbeatReply(Machine machine, Reply reply) {
-    machine.channel().end();
+    machine.channel().endCall();
     if (machines.isCurrent(machine)
         && reply.ok()
-        && workers.apply(machine, reply) == WorkerClient.ReplyContent.NEW_HEARTBEAT) {
+        && workers.applyReply(machine, reply) == WorkerClient.ReplyContent.NEW_HEARTBEAT) {
       reconcile(machine);
     }
   }
 
   private void onTokenReply(Machine machine, Reply reply) {
-    machine.channel().end();
+    machine.channel().endCall();
     if (!machines.isCurrent(machine)) {
       return;
     }
-    workers.apply(machine, reply);
+    workers.applyReply(machine, reply);
     if (reply.ok()) {
-      machine.channel().succeeded();
+      machine.channel().recordSuccess();
     }
   }
 
--- a/src/main/java/org/sandford/machine/MachineShard.java
+++ b/src/main/java/org/sandford/machine/MachineShard.java
@@ -36,9 +36,9 @@
   private final ShardAssignment assignment;
   private final OpenJobResolver openJobs;
   private final TaskStopper stopper;
-  private final HeartbeatHandler heartbeats;
-  private final StartHandler starts;
-  private final PeerRequests requests;
+  private final HeartbeatHandler heartbeatHandler;
+  private final StartHandler startHandler;
+  private final PeerRequests peerRequests;
 
   /**
    * Assembles the shard; nothing runs before {@link #start}. It is longer than other constructors
@@ -73,7 +73,7 @@
     MachineReconciler reconciler = new MachineReconciler(loop, cluster, machines, workers);
     CommandDispatcher dispatcher =
         new CommandDispatcher(loop, cluster, machines, publisher, workers, reconciler);
-    commands.start(dispatcher::dispatch);
+    commands.setDispatcher(dispatcher::dispatch);
     monitor =
         new MachineMonitor(
             loop,
@@ -86,13 +86,13 @@
     assignment =
         new ShardAssignment(
             loop, cluster, machines, teams, machineSnapshots, publisher, reconciler);
-    heartbeats =
+    heartbeatHandler =
         new HeartbeatHandler(
             loop, settings, cluster, cancellations, machines, announcer, processor);
     StartAdmission admission =
         new StartAdmission(loop, cluster, machines, teams, instanceTypes, isTerminal);
-    starts = new StartHandler(loop, machines, admission, publisher, commands, commandAudit);
-    requests = new PeerRequests(loop, cluster, machines, teams, publisher, stopper);
+    startHandler = new StartHandler(loop, machines, admission, publisher, commands, commandAudit);
+    peerRequests = new PeerRequests(loop, cluster, machines, teams, publisher, stopper);
   }
 
   /** Begins the periodic checks; called once. */
@@ -108,42 +108,42 @@
 
   /** The snapshots of all machines, for a controller whose link comes up. */
   public SnapshotUpdate completeUpdate() {
-    return publisher.complete();
+    return publisher.completeUpdate();
   }
 
   /** Answers whether a team's new owner is accepted, after the snapshots of what was before. */
-  public void claimTeam(ClaimTeam claim, Consumer<Object> answer) {
-    requests.claim(claim, answer);
+  public void claimTeam(ClaimTeam claim, Consumer<Object> reply) {
+    peerRequests.claimTeam(claim, reply);
   }
 
   /** Answers whether a start is accepted; its outcome comes with a snapshot. */
-  public void startTask(StartTask request, Consumer<Object> answer) {
-    starts.start(request, answer);
+  public void startTask(StartTask request, Consumer<Object> reply) {
+    startHandler.start(request, reply);
   }
 
   /** Stops an attempt; the exit comes with a snapshot. */
   public void stopTask(StopTask request) {
-    requests.stopTask(request);
+    peerRequests.stopTask(request);
   }
 
   /** Reserves resources for a job and stops the tasks that hold them. */
   public void preempt(Preempt request) {
-    requests.preempt(request);
+    peerRequests.preempt(request);
   }
 
   /** Takes in that an exit is recorded, so that the worker may forget the attempt. */
   public void acknowledgeExit(AcknowledgeExit request) {
-    requests.acknowledgeExit(request);
+    peerRequests.acknowledgeExit(request);
   }
 
   /** Takes a machine out of service if it is idle or has to be replaced. */
   public void decommission(DecommissionMachine request) {
-    requests.decommission(request);
+    peerRequests.decommission(request);
   }
 
   /** Begins or ends a drain: a draining machine accepts no starts. */
   public void drain(DrainMachine request) {
-    requests.drain(request);
+    peerRequests.drain(request);
   }
 
   /** A job's terminal state is stored: whatever of it is still here has to end. */
@@ -163,7 +163,7 @@
    * renewed now.
    */
   public ApiResponse handleHeartbeat(JsonNode body) {
-    return heartbeats.handle(body);
+    return heartbeatHandler.handle(body);
   }
 
   /** How many machines are in each state, by the state's name in lower case. */
--- a/src/main/java/org/sandford/machine/OpenJobResolver.java
+++ b/src/main/java/org/sandford/machine/OpenJobResolver.java
@@ -24,12 +24,12 @@
   private final SnapshotPublisher publisher;
   private final TaskStopper stopper;
   private final Map<String, JobSpec> specs = new HashMap<>();
-  private boolean resolving;
+  private boolean listingRequested;
 
   /** Rises when ends of jobs may have been missed: a listing begun before proves nothing more. */
-  private int round;
+  private int invalidations;
 
-  private long nextListingAtMs;
+  private long earliestListingAtMs;
 
   OpenJobResolver(
       EventLoop loop,
@@ -42,7 +42,7 @@
     this.machines = machines;
     this.publisher = publisher;
     this.stopper = stopper;
-    this.nextListingAtMs = loop.millis();
+    this.earliestListingAtMs = loop.millis();
   }
 
   /** Forgets a job that has ended. */
@@ -52,53 +52,53 @@
 
   /** Reads the jobs of all tasks again: ends of jobs may have been missed. */
   void jobEndsMissed() {
-    round++;
+    invalidations++;
     specs.clear();
     for (Machine machine : machines.all()) {
-      machine.tasks().all().forEach(TaskEntry::forgetJob);
+      machine.tasks().all().forEach(TaskEntry::clearJobConfirmation);
     }
-    resolve();
+    requestListing();
   }
 
   /**
    * Fills in what is known of the machine's tasks and reads what is not; true when it filled in
    * any.
    */
-  boolean describeTasks(Machine machine) {
+  boolean applyKnownSpecs(Machine machine) {
     boolean missing = false;
-    boolean described = false;
+    boolean changed = false;
     for (TaskEntry entry : machine.tasks().all()) {
-      if (entry.isJobKnown()) {
+      if (entry.isJobConfirmedOpen()) {
         continue;
       }
       JobSpec spec = specs.get(entry.job());
       if (spec == null) {
         missing = true;
-        described |= machine.tasks().describeFromFormerOwner(entry);
+        changed |= machine.tasks().applyFormerSnapshot(entry);
       } else {
-        describe(machine, entry, spec);
-        described = true;
+        applySpec(machine, entry, spec);
+        changed = true;
       }
     }
     if (missing) {
-      resolve();
+      requestListing();
     }
-    return described;
+    return changed;
   }
 
-  private static void describe(Machine machine, TaskEntry entry, JobSpec spec) {
-    entry.describe(spec);
+  private static void applySpec(Machine machine, TaskEntry entry, JobSpec spec) {
+    entry.applySpec(spec);
     if (entry.state() == TaskState.RUNNING) {
-      machine.images().used(entry.image());
+      machine.images().recordUse(entry.image());
     }
   }
 
-  private void resolve() {
-    if (resolving) {
+  private void requestListing() {
+    if (listingRequested) {
       return;
     }
-    resolving = true;
-    long pauseMs = nextListingAtMs - loop.millis();
+    listingRequested = true;
+    long pauseMs = earliestListingAtMs - loop.millis();
     if (pauseMs > 0) {
       loop.after(pauseMs, this::listOpenJobs);
     } else {
@@ -107,35 +107,37 @@
   }
 
   private void listOpenJobs() {
-    nextListingAtMs = loop.millis() + MachineConstants.OPEN_JOBS_LIST_INTERVAL_MS;
-    int listingRound = round;
-    List<TaskEntry> unknown = new ArrayList<>();
+    earliestListingAtMs = loop.millis() + MachineConstants.OPEN_JOBS_LIST_INTERVAL_MS;
+    int invalidationsAtListing = invalidations;
+    List<TaskEntry> unconfirmedAtListing = new ArrayList<>();
     for (Machine machine : machines.all()) {
       for (TaskEntry entry : machine.tasks().all()) {
-        if (!entry.isJobKnown()) {
-          unknown.add(entry);
+        if (!entry.isJobConfirmedOpen()) {
+          unconfirmedAtListing.add(entry);
         }
       }
     }
-    openJobs.openJobs(open -> onOpenJobs(open, unknown, listingRound));
+    openJobs.openJobs(open -> onOpenJobs(open, unconfirmedAtListing, invalidationsAtListing));
   }
 
   private void onOpenJobs(
-      Map<String, StoreClient.Entry> open, List<TaskEntry> unknown, int listingRound) {
-    resolving = false;
-    if (listingRound != round) {
-      resolve();
+      Map<String, StoreClient.Entry> open,
+      List<TaskEntry> unconfirmedAtListing,
+      int invalidationsAtListing) {
+    listingRequested = false;
+    if (invalidationsAtListing != invalidations) {
+      requestListing();
       return;
     }
     specs.clear();
     open.forEach((id, record) -> specs.put(id, OpenJobReader.spec(id, record.value())));
     for (Machine machine : machines.all()) {
-      if (resolveTasks(machine, unknown)) {
+      if (resolveTasks(machine, unconfirmedAtListing)) {
         publisher.markChanged(machine);
       }
     }
     for (Machine machine : machines.all()) {
-      if (describeTasks(machine)) {
+      if (applyKnownSpecs(machine)) {
         publisher.markChanged(machine);
       }
     }
@@ -145,20 +147,20 @@
    * Describes tasks of open jobs and ends those whose job was not open when the listing began: a
    * task starts only once its job is stored, so the job has ended.
    */
-  private boolean resolveTasks(Machine machine, List<TaskEntry> unknown) {
-    boolean described = false;
+  private boolean resolveTasks(Machine machine, List<TaskEntry> unconfirmedAtListing) {
+    boolean changed = false;
     for (TaskEntry entry : new ArrayList<>(machine.tasks().all())) {
-      if (entry.isJobKnown()) {
+      if (entry.isJobConfirmedOpen()) {
         continue;
       }
       JobSpec spec = specs.get(entry.job());
       if (spec != null) {
-        describe(machine, entry, spec);
-        described = true;
-      } else if (unknown.contains(entry)) {
+        applySpec(machine, entry, spec);
+        changed = true;
+      } else if (unconfirmedAtListing.contains(entry)) {
         stopper.end(machine, entry);
       }
     }
-    return described;
+    return changed;
   }
 }
--- a/src/main/java/org/sandford/machine/PeerRequests.java
+++ b/src/main/java/org/sandford/machine/PeerRequests.java
@@ -51,10 +51,10 @@
    * Accepts a team's new owner, after which no earlier one starts anything here. The answer comes
    * after the snapshots of all that was accepted before.
    */
-  void claim(ClaimTeam claim, Consumer<Object> answer) {
+  void claimTeam(ClaimTeam claim, Consumer<Object> reply) {
     boolean accepted = teams.accept(claim.team, claim.generation);
     publisher.publish();
-    answer.accept(new ClaimReply(claim.team, claim.generation, accepted));
+    reply.accept(new ClaimReply(claim.team, claim.generation, accepted));
   }
 
   void stopTask(StopTask request) {
--- a/src/main/java/org/sandford/machine/QuarantineTracker.java
+++ b/src/main/java/org/sandford/machine/QuarantineTracker.java
@@ -30,7 +30,7 @@
   }
 
   /** Takes in that a task of the job exited on the machine. */
-  void taskExited(String job, ExitCause cause) {
+  void recordExit(String job, ExitCause cause) {
     if (cause == ExitCause.DONE) {
       failedJobs.clear();
     } else if (cause == ExitCause.ERROR) {
--- a/src/main/java/org/sandford/machine/Reservations.java
+++ b/src/main/java/org/sandford/machine/Reservations.java
@@ -40,7 +40,7 @@
   }
 
   /** What is reserved from this start: for jobs that go before its own. */
-  ReservedResources aheadOf(StartTask start, long now) {
+  ReservedResources reservedByPrecedingJobs(StartTask start, long now) {
     double cpus = 0;
     double gpus = 0;
     double ram = 0;
--- a/src/main/java/org/sandford/machine/ShardAssignment.java
+++ b/src/main/java/org/sandford/machine/ShardAssignment.java
@@ -45,7 +45,7 @@
             add(name, assignment, now);
           }
         });
-    teams.raise(cluster.teams().of());
+    teams.updateFrom(cluster.teams().of());
     publisher.scheduleRemovals();
   }
 
@@ -70,7 +70,7 @@
     Machine machine = new Machine(name, assignment, now);
     MachineSnapshots.ReceivedSnapshot former = snapshots.get(name);
     if (former != null) {
-      machine.inherit(former.snapshot());
+      machine.restoreFrom(former.snapshot());
     }
     machines.put(machine);
     publisher.markAdded(machine);
--- a/src/main/java/org/sandford/machine/SnapshotPublisher.java
+++ b/src/main/java/org/sandford/machine/SnapshotPublisher.java
@@ -121,7 +121,7 @@
   }
 
   /** The snapshots of all machines, for a controller whose link comes up. */
-  SnapshotUpdate complete() {
+  SnapshotUpdate completeUpdate() {
     long now = loop.nanos();
     List<MachineSnapshot> snapshots = new ArrayList<>();
     for (Machine machine : machines.all()) {
--- a/src/main/java/org/sandford/machine/StartAdmission.java
+++ b/src/main/java/org/sandford/machine/StartAdmission.java
@@ -67,24 +67,24 @@
 
   private Optional<StartRefusal> checkResources(StartTask request, Machine machine) {
     InstanceType instanceType = instanceTypes.apply(machine.assignment().kind());
-    if (instanceType == null || !machine.tasks().allJobsKnown()) {
+    if (instanceType == null || !machine.tasks().allJobsConfirmedOpen()) {
       return Optional.of(StartRefusal.RESOURCES_UNKNOWN);
     }
-    double cpus = instanceType.cpus();
-    double gpus = instanceType.gpus();
-    double ram = instanceType.ram();
+    double freeCpus = instanceType.cpus();
+    double freeGpus = instanceType.gpus();
+    double freeRam = instanceType.ram();
     for (TaskEntry entry : machine.tasks().all()) {
       if (entry.isOnMachine()) {
-        cpus -= entry.cpus();
-        gpus -= entry.gpus();
-        ram -= entry.ram();
+        freeCpus -= entry.cpus();
+        freeGpus -= entry.gpus();
+        freeRam -= entry.ram();
       }
     }
-    ReservedResources reserved = machine.reservedAheadOf(request, loop.nanos());
+    ReservedResources reserved = machine.reservedByPrecedingJobs(request, loop.nanos());
     boolean fits =
-        request.cpus <= cpus - reserved.cpus() + PlacementConstants.EPSILON
-            && request.gpus <= gpus - reserved.gpus() + PlacementConstants.EPSILON
-            && request.ram <= ram - reserved.ram() + PlacementConstants.EPSILON;
+        request.cpus <= freeCpus - reserved.cpus() + PlacementConstants.EPSILON
+            && request.gpus <= freeGpus - reserved.gpus() + PlacementConstants.EPSILON
+            && request.ram <= freeRam - reserved.ram() + PlacementConstants.EPSILON;
     return fits ? Optional.empty() : Optional.of(StartRefusal.INSUFFICIENT_RESOURCES);
   }
 }
--- a/src/main/java/org/sandford/machine/StartHandler.java
+++ b/src/main/java/org/sandford/machine/StartHandler.java
@@ -35,7 +35,7 @@
   }
 
   /** Answers whether the start is accepted; an accepted one is sent to the worker soon. */
-  void start(StartTask request, Consumer<Object> answer) {
+  void start(StartTask request, Consumer<Object> reply) {
     Optional<StartRefusal> refusal = admission.check(request);
     if (refusal.isEmpty()) {
       Machine machine = machines.get(request.machine);
@@ -51,7 +51,7 @@
           request.machine,
           refusal.get());
     }
-    answer.accept(
+    reply.accept(
         new StartReply(
             request.job, request.task, request.attempt, request.machine, refusal.isEmpty()));
   }
--- a/src/main/java/org/sandford/machine/StartState.java
+++ b/src/main/java/org/sandford/machine/StartState.java
@@ -14,7 +14,7 @@
   CONFIRMED;
 
   /** Whether a start may go from this state to that one. A worker's report confirms any start. */
-  boolean mayBecome(StartState next) {
+  boolean canTransitionTo(StartState next) {
     return switch (next) {
       case QUEUED -> false;
       case COMMAND_SENT, RESPONSE_SENT -> this == QUEUED;
--- a/src/main/java/org/sandford/machine/TaskEntry.java
+++ b/src/main/java/org/sandford/machine/TaskEntry.java
@@ -13,10 +13,10 @@
  */
 final class TaskEntry {
   private final TaskAttempt id;
-  private StartState start;
+  private StartState startState;
   private TaskState state = TaskState.STARTING;
   private ExitCause cause = ExitCause.NONE;
-  private boolean jobKnown;
+  private boolean jobConfirmedOpen;
 
   private String team = "";
   private int rank;
@@ -37,7 +37,7 @@
   private long commandToken;
 
   /** Of an unconfirmed start: once the worker has seen this token, it will not be carried out. */
-  private long voidingToken;
+  private long invalidatingToken;
 
   private boolean stopRequested;
   private int stopGraceS;
@@ -45,17 +45,17 @@
   private long stopSentAt;
   private boolean exitAcknowledged;
 
-  private TaskEntry(TaskAttempt id, StartState start, long now) {
+  private TaskEntry(TaskAttempt id, StartState startState, long now) {
     this.id = id;
-    this.start = start;
+    this.startState = startState;
     this.startedAt = now;
   }
 
   /** An attempt whose start was accepted here and is to be sent. */
   static TaskEntry queued(TaskAttempt id, StartTask request, long now) {
     TaskEntry entry = new TaskEntry(id, StartState.QUEUED, now);
-    entry.jobKnown = true;
-    entry.describe(
+    entry.jobConfirmedOpen = true;
+    entry.setAttributes(
         request.team, request.rank, request.cpus, request.gpus, request.ram, request.image);
     return entry;
   }
@@ -102,7 +102,8 @@
     return ram;
   }
 
-  private void describe(String team, int rank, double cpus, double gpus, double ram, String image) {
+  private void setAttributes(
+      String team, int rank, double cpus, double gpus, double ram, String image) {
     this.team = team;
     this.rank = rank;
     this.cpus = cpus;
@@ -112,46 +113,47 @@
   }
 
   /** Fills in the task's job, which is known to be open. */
-  void describe(JobSpec spec) {
-    jobKnown = true;
-    describe(spec.team(), spec.rank().number(), spec.cpus(), spec.gpus(), spec.ram(), spec.image());
+  void applySpec(JobSpec spec) {
+    jobConfirmedOpen = true;
+    setAttributes(
+        spec.team(), spec.rank().number(), spec.cpus(), spec.gpus(), spec.ram(), spec.image());
   }
 
   /**
    * Fills in what the former owner reported. The job stays unknown all the same: only a read of the
    * open jobs shows that it has not ended.
    */
-  void describe(TaskSnapshot former) {
-    describe(former.team, former.rank, former.cpus, former.gpus, former.ram, former.image);
+  void applyFormerSnapshot(TaskSnapshot former) {
+    setAttributes(former.team, former.rank, former.cpus, former.gpus, former.ram, former.image);
   }
 
   /** Whether anything of the task's job is filled in. */
-  boolean isDescribed() {
+  boolean hasAttributes() {
     return !team.isEmpty();
   }
 
   /** Whether the job was open when the open jobs were last read, or a team's owner started it. */
-  boolean isJobKnown() {
-    return jobKnown;
+  boolean isJobConfirmedOpen() {
+    return jobConfirmedOpen;
   }
 
   /** The job may have ended meanwhile: it has to be read again. */
-  void forgetJob() {
-    jobKnown = false;
+  void clearJobConfirmation() {
+    jobConfirmedOpen = false;
   }
 
   boolean isQueued() {
-    return start == StartState.QUEUED;
+    return startState == StartState.QUEUED;
   }
 
   /** Whether the start was sent as a command whose reply is awaited. */
   boolean isCommandSent() {
-    return start == StartState.COMMAND_SENT;
+    return startState == StartState.COMMAND_SENT;
   }
 
   /** Whether the start waits to be sent; one that is to be stopped is not sent any more. */
   boolean isStartDue() {
-    return start == StartState.QUEUED && !stopRequested;
+    return startState == StartState.QUEUED && !stopRequested;
   }
 
   /**
@@ -160,30 +162,30 @@
    * @param token the fencing token that goes with it
    * @param lastSerial the serial number of the worker's last message
    */
-  void startSent(WorkerChannel channel, long token, long lastSerial) {
+  void markStartSent(WorkerChannel channel, long token, long lastSerial) {
     sentAsCommand = channel == WorkerChannel.COMMAND;
-    moveTo(sentAsCommand ? StartState.COMMAND_SENT : StartState.RESPONSE_SENT);
+    transitionTo(sentAsCommand ? StartState.COMMAND_SENT : StartState.RESPONSE_SENT);
     commandToken = token;
     serialWhenSent = lastSerial;
   }
 
   /** Takes in that the worker has the task. */
   void confirmStart() {
-    moveTo(StartState.CONFIRMED);
+    transitionTo(StartState.CONFIRMED);
   }
 
   /** Takes in that the command went unanswered; only this token makes it void. */
-  void startUnconfirmed(long token) {
-    moveTo(StartState.UNCONFIRMED);
-    voidingToken = token;
+  void markStartUnconfirmed(long token) {
+    transitionTo(StartState.UNCONFIRMED);
+    invalidatingToken = token;
   }
 
-  private void moveTo(StartState next) {
-    if (!start.mayBecome(next)) {
+  private void transitionTo(StartState next) {
+    if (!startState.canTransitionTo(next)) {
       throw new IllegalStateException(
-          "start of " + id + " cannot go from " + start + " to " + next);
+          "start of " + id + " cannot go from " + startState + " to " + next);
     }
-    start = next;
+    startState = next;
   }
 
   /**
@@ -192,13 +194,13 @@
    * commands can be delayed for minutes.
    */
   boolean isProvenAbsent(Heartbeat heartbeat, WorkerChannel channel, boolean newEpoch) {
-    return switch (start) {
+    return switch (startState) {
       case CONFIRMED -> true;
       case QUEUED -> false;
       case COMMAND_SENT -> newEpoch;
       case RESPONSE_SENT ->
           newEpoch || (channel == WorkerChannel.HEARTBEAT && heartbeat.serial() > serialWhenSent);
-      case UNCONFIRMED -> newEpoch || heartbeat.token() >= voidingToken;
+      case UNCONFIRMED -> newEpoch || heartbeat.token() >= invalidatingToken;
     };
   }
 
@@ -233,7 +235,7 @@
   }
 
   /** Whether the task is to be stopped at once. */
-  boolean isStoppedAtOnce() {
+  boolean isImmediateStopRequested() {
     return stopRequested && stopGraceS == 0;
   }
 
@@ -241,7 +243,7 @@
   boolean needsStop() {
     return stopRequested
         && isOnMachine()
-        && start != StartState.QUEUED
+        && startState != StartState.QUEUED
         && (state != TaskState.CHECKPOINTING || stopGraceS == 0);
   }
 
@@ -250,7 +252,7 @@
     return !stopSent || now - stopSentAt > MachineConstants.COMMAND_TIMEOUT_MS * 1_000_000L;
   }
 
-  void stopSent(long now) {
+  void markStopSent(long now) {
     stopSent = true;
     stopSentAt = now;
   }
@@ -286,7 +288,7 @@
         id.attempt(),
         state,
         cause,
-        jobKnown,
+        jobConfirmedOpen,
         team,
         rank,
         cpus,
--- a/src/main/java/org/sandford/machine/TaskTable.java
+++ b/src/main/java/org/sandford/machine/TaskTable.java
@@ -51,8 +51,8 @@
   }
 
   /** Whether the job of each task on the machine is known to be open. */
-  boolean allJobsKnown() {
-    return entries.values().stream().allMatch(e -> e.isJobKnown() || !e.isOnMachine());
+  boolean allJobsConfirmedOpen() {
+    return entries.values().stream().allMatch(e -> e.isJobConfirmedOpen() || !e.isOnMachine());
   }
 
   /** Adds a start that was accepted; it goes out with the next commands. */
@@ -70,7 +70,7 @@
   }
 
   /** Takes over what the former owner reported of a task. */
-  void inherit(TaskSnapshot task) {
+  void addFormerSnapshot(TaskSnapshot task) {
     if (!task.team.isEmpty()) {
       formerSnapshots.put(new TaskAttempt(new TaskId(task.job, task.task), task.attempt), task);
     }
@@ -81,12 +81,12 @@
    * did. The team and the resources of a task never change, and the team's owner has to count it,
    * also when its job has ended.
    */
-  boolean describeFromFormerOwner(TaskEntry entry) {
-    TaskSnapshot former = entry.isDescribed() ? null : formerSnapshots.get(entry.id());
+  boolean applyFormerSnapshot(TaskEntry entry) {
+    TaskSnapshot former = entry.hasAttributes() ? null : formerSnapshots.get(entry.id());
     if (former == null) {
       return false;
     }
-    entry.describe(former);
+    entry.applyFormerSnapshot(former);
     return true;
   }
 
@@ -121,10 +121,10 @@
     boolean changed = added || entry.isChangedBy(report);
     if (entry.state() != report.state()) {
       if (report.state() == TaskState.RUNNING) {
-        images.used(entry.image());
+        images.recordUse(entry.image());
       }
       if (report.state() == TaskState.EXITED) {
-        quarantine.taskExited(entry.job(), report.cause());
+        quarantine.recordExit(entry.job(), report.cause());
       }
     }
     entry.update(report, now);
@@ -132,7 +132,7 @@
   }
 
   /** The starts that were sent as commands whose reply is awaited. */
-  List<TaskEntry> commandedStarts() {
+  List<TaskEntry> startsAwaitingReply() {
     List<TaskEntry> starts = new ArrayList<>();
     for (TaskEntry entry : entries.values()) {
       if (entry.isCommandSent()) {
@@ -143,7 +143,7 @@
   }
 
   /** Removes starts that were surely not carried out. */
-  void removeCommanded(List<TaskEntry> starts) {
+  void removeStartsAwaitingReply(List<TaskEntry> starts) {
     for (TaskEntry entry : starts) {
       if (entry.isCommandSent()) {
         remove(entry);
--- a/src/main/java/org/sandford/machine/TeamGenerations.java
+++ b/src/main/java/org/sandford/machine/TeamGenerations.java
@@ -21,7 +21,7 @@
   }
 
   /** Takes in the generations of the assignment map. */
-  void raise(Map<String, TeamAssignment> teams) {
+  void updateFrom(Map<String, TeamAssignment> teams) {
     teams.forEach((team, owner) -> latest.merge(team, owner.generation(), Math::max));
   }
 }
--- a/src/main/java/org/sandford/machine/WorkerClient.java
+++ b/src/main/java/org/sandford/machine/WorkerClient.java
@@ -19,38 +19,38 @@
   }
 
   private final HttpTransport http;
-  private final HeartbeatProcessor heartbeats;
+  private final HeartbeatProcessor processor;
 
-  WorkerClient(HttpTransport http, HeartbeatProcessor heartbeats) {
+  WorkerClient(HttpTransport http, HeartbeatProcessor processor) {
     this.http = http;
-    this.heartbeats = heartbeats;
+    this.processor = processor;
   }
 
   /** Asks the worker for a heartbeat; calls back once. */
-  void requestHeartbeat(Machine machine, int timeoutMs, Consumer<Reply> done) {
-    http.send(machine.assignment().address(), "GET", "/show", null, timeoutMs, done);
+  void requestHeartbeat(Machine machine, int timeoutMs, Consumer<Reply> callback) {
+    http.send(machine.assignment().address(), "GET", "/show", null, timeoutMs, callback);
   }
 
   /** Sends commands under the machine's present token; calls back once. */
-  void sendCommands(Machine machine, ArrayNode commands, Consumer<Reply> done) {
+  void sendCommands(Machine machine, ArrayNode commands, Consumer<Reply> callback) {
     http.send(
         machine.assignment().address(),
         "POST",
         "/commands",
-        WorkerCommands.request(machine.token(), machine.agentEpoch(), commands),
+        WorkerCommands.requestBody(machine.token(), machine.agentEpoch(), commands),
         MachineConstants.COMMAND_TIMEOUT_MS,
-        done);
+        callback);
   }
 
   /** Takes in the heartbeat that a reply carries, whatever the reply's status. */
-  ReplyContent apply(Machine machine, Reply reply) {
+  ReplyContent applyReply(Machine machine, Reply reply) {
     if (!(HeartbeatReader.read(Json.read(reply.body())) instanceof Heartbeat heartbeat)) {
       return ReplyContent.NO_HEARTBEAT;
     }
     if (machine.isStale(heartbeat)) {
       return ReplyContent.STALE_HEARTBEAT;
     }
-    heartbeats.process(machine, heartbeat, WorkerChannel.COMMAND);
+    processor.process(machine, heartbeat, WorkerChannel.COMMAND);
     return ReplyContent.NEW_HEARTBEAT;
   }
 }
--- a/src/main/java/org/sandford/machine/WorkerCommands.java
+++ b/src/main/java/org/sandford/machine/WorkerCommands.java
@@ -34,14 +34,14 @@
   }
 
   /** The body of a call with these commands; without any it shows the worker the token. */
-  static byte[] request(long token, long agentEpoch, ArrayNode commands) {
+  static byte[] requestBody(long token, long agentEpoch, ArrayNode commands) {
     ObjectNode body = Json.object().put("fence", token).put("tenure", agentEpoch);
     body.set("orders", commands);
     return Json.bytes(body);
   }
 
   /** The body of the response to a heartbeat. */
-  static ObjectNode heartbeatResponse(long token, ArrayNode commands) {
+  static ObjectNode heartbeatResponseBody(long token, ArrayNode commands) {
     ObjectNode body = Json.object().put("fence", token);
     body.set("orders", commands);
     return body;
--- a/src/main/java/org/sandford/machine/WorkerLease.java
+++ b/src/main/java/org/sandford/machine/WorkerLease.java
@@ -13,10 +13,10 @@
   private long lastHeartbeatAt;
 
   /** When a heartbeat was last answered here, which renews the lease. */
-  private final LastTime renewed = new LastTime();
+  private final LastTime lastRenewal = new LastTime();
 
   /** When the worker was first known to have seen a token of this generation. */
-  private final LastTime owned = new LastTime();
+  private final LastTime generationFirstSeen = new LastTime();
 
   private boolean expired;
 
@@ -29,9 +29,9 @@
   }
 
   /** Takes in a message of the worker. */
-  void heartbeatReceived(boolean isOwned, long now) {
-    if (isOwned && !owned.hasHappened()) {
-      owned.mark(now);
+  void recordHeartbeat(boolean isGenerationSeen, long now) {
+    if (isGenerationSeen && !generationFirstSeen.hasHappened()) {
+      generationFirstSeen.mark(now);
     }
     lastHeartbeatAt = now;
     expired = false;
@@ -39,12 +39,12 @@
 
   /** Takes in that a heartbeat is answered now. */
   void renew(long now) {
-    renewed.mark(now);
+    lastRenewal.mark(now);
   }
 
   /** Takes over when the lease was renewed under an earlier entry of the same machine. */
-  void inherit(WorkerLease former) {
-    renewed.copyFrom(former.renewed);
+  void copyRenewalFrom(WorkerLease former) {
+    lastRenewal.copyFrom(former.lastRenewal);
   }
 
   /** Steady-clock time of the worker's last message; before any, of the machine's assignment. */
@@ -61,17 +61,18 @@
    * Whether the worker must have killed its tasks by now. A worker that has not seen this owner's
    * token may have been answered by the former owner for as long as that one could renew leases.
    *
-   * @param isOwned whether the worker has seen this owner's token
+   * @param isGenerationSeen whether the worker has seen this owner's token
    * @param leaseS the deployment's {@code lease_s}
    * @param cancelS the deployment's {@code cancel_s}
    */
-  boolean hasRunOut(boolean isOwned, double leaseS, double cancelS, long now) {
+  boolean isExpiryCertain(boolean isGenerationSeen, double leaseS, double cancelS, long now) {
     double drift = 1 + TimeConstants.CLOCK_DRIFT;
     double ownLeaseS = leaseS * drift + TimeConstants.KILL_MARGIN_S;
-    double inheritedLeaseS = cancelS * drift + MachineConstants.INHERITED_LEASE_MARGIN_S;
-    boolean ownRunOut = renewed.isOlderThan(ownLeaseS, now) && owned.isOlderThan(ownLeaseS, now);
-    boolean inheritedRunOut = isOwned || (now - assignedAt) / 1e9 > inheritedLeaseS;
-    return ownRunOut && inheritedRunOut && silentS(now) > ownLeaseS;
+    double formerLeaseS = cancelS * drift + MachineConstants.INHERITED_LEASE_MARGIN_S;
+    boolean ownLeaseExpired =
+        lastRenewal.isOlderThan(ownLeaseS, now) && generationFirstSeen.isOlderThan(ownLeaseS, now);
+    boolean formerLeaseExpired = isGenerationSeen || (now - assignedAt) / 1e9 > formerLeaseS;
+    return ownLeaseExpired && formerLeaseExpired && silentS(now) > ownLeaseS;
   }
 
   /** Records that the lease has expired, and with it the agent epoch that held it. */
--- a/src/test/java/org/sandford/machine/FencingTokensTest.java
+++ b/src/test/java/org/sandford/machine/FencingTokensTest.java
@@ -11,38 +11,38 @@
   private final FencingTokens tokens = new FencingTokens(3);
 
   @Test
-  void workerObeysOwnerOnceItHasSeenTokenOfGeneration() {
-    assertFalse(tokens.isOwned());
-    tokens.seenByWorker(3 * MachineConstants.TOKENS_PER_GENERATION);
-    assertTrue(tokens.isOwned());
+  void generationIsSeenOnceWorkerReportsItsToken() {
+    assertFalse(tokens.isGenerationSeen());
+    tokens.recordSeenToken(3 * MachineConstants.TOKENS_PER_GENERATION);
+    assertTrue(tokens.isGenerationSeen());
     assertFalse(tokens.isSuperseded());
-    tokens.seenByWorker(4 * MachineConstants.TOKENS_PER_GENERATION);
+    tokens.recordSeenToken(4 * MachineConstants.TOKENS_PER_GENERATION);
     assertTrue(tokens.isSuperseded());
   }
 
   @Test
-  void machineIsSettledOnlyOnceRequiredTokenIsSeen() {
-    tokens.seenByWorker(tokens.current());
-    assertTrue(tokens.isSettled());
+  void requiredTokenCountsAsSeenOnlyOnceWorkerReportsIt() {
+    tokens.recordSeenToken(tokens.current());
+    assertTrue(tokens.isRequiredTokenSeen());
     long before = tokens.current();
     tokens.raiseAndRequire();
     assertEquals(before + 1, tokens.current());
-    assertFalse(tokens.isSettled());
-    tokens.seenByWorker(tokens.current());
-    assertTrue(tokens.isSettled());
+    assertFalse(tokens.isRequiredTokenSeen());
+    tokens.recordSeenToken(tokens.current());
+    assertTrue(tokens.isRequiredTokenSeen());
   }
 
   @Test
-  void raiseThatIsNotRequiredLeavesMachineSettled() {
-    tokens.seenByWorker(tokens.current());
+  void raiseAloneDoesNotChangeRequiredToken() {
+    tokens.recordSeenToken(tokens.current());
     tokens.raise();
-    assertTrue(tokens.isSettled());
+    assertTrue(tokens.isRequiredTokenSeen());
   }
 
   @Test
   void olderTokenSeenLaterIsIgnored() {
-    tokens.seenByWorker(tokens.current());
-    tokens.seenByWorker(0);
-    assertTrue(tokens.isOwned());
+    tokens.recordSeenToken(tokens.current());
+    tokens.recordSeenToken(0);
+    assertTrue(tokens.isGenerationSeen());
   }
 }
--- a/src/test/java/org/sandford/machine/HeartbeatBuilder.java
+++ b/src/test/java/org/sandford/machine/HeartbeatBuilder.java
@@ -11,16 +11,16 @@
   private long serial;
 
   /** A message without tasks. */
-  Heartbeat empty(long agentEpoch, long token) {
-    return message(agentEpoch, token, List.of());
+  Heartbeat withoutTasks(long agentEpoch, long token) {
+    return build(agentEpoch, token, List.of());
   }
 
   /** A message of agent epoch 1 with one task. */
   Heartbeat withTask(long token, TaskId task, long attempt, TaskState state, ExitCause cause) {
-    return message(1, token, List.of(new Heartbeat.ReportedTask(task, attempt, state, cause)));
+    return build(1, token, List.of(new Heartbeat.ReportedTask(task, attempt, state, cause)));
   }
 
-  private Heartbeat message(long agentEpoch, long token, List<Heartbeat.ReportedTask> tasks) {
+  private Heartbeat build(long agentEpoch, long token, List<Heartbeat.ReportedTask> tasks) {
     return new Heartbeat(
         "n-1",
         "n-1:90",
--- a/src/test/java/org/sandford/machine/MachineTest.java
+++ b/src/test/java/org/sandford/machine/MachineTest.java
@@ -36,7 +36,7 @@
   }
 
   private void acceptAndSendStart() {
-    receive(worker.empty(1, machine.token()), 1);
+    receive(worker.withoutTasks(1, machine.token()), 1);
     machine.acceptStart(start("wk-1", ATTEMPT), 2);
     assertFalse(machine.takeCommands(WorkerChannel.COMMAND, true, 3).isEmpty());
   }
@@ -44,7 +44,7 @@
   @Test
   void heartbeatWithoutTaskKeepsStartWhoseCommandMayBeUnderWay() {
     acceptAndSendStart();
-    receive(worker.empty(1, machine.token()), 4);
+    receive(worker.withoutTasks(1, machine.token()), 4);
     assertNotNull(machine.find(TASK, ATTEMPT));
   }
 
@@ -52,29 +52,29 @@
   void unconfirmedStartStaysUntilRaisedTokenIsSeen() {
     acceptAndSendStart();
     long before = machine.token();
-    machine.markUnconfirmed(machine.tasks().commandedStarts());
+    machine.markStartsUnconfirmed(machine.tasks().startsAwaitingReply());
     assertTrue(machine.token() > before);
-    receive(worker.empty(1, before), 5);
+    receive(worker.withoutTasks(1, before), 5);
     assertNotNull(machine.find(TASK, ATTEMPT));
-    receive(worker.empty(1, machine.token()), 6);
+    receive(worker.withoutTasks(1, machine.token()), 6);
     assertNull(machine.find(TASK, ATTEMPT));
   }
 
   @Test
   void newAgentEpochRemovesUnconfirmedStart() {
     acceptAndSendStart();
-    machine.markUnconfirmed(machine.tasks().commandedStarts());
-    receive(worker.empty(2, 0), 5);
+    machine.markStartsUnconfirmed(machine.tasks().startsAwaitingReply());
+    receive(worker.withoutTasks(2, 0), 5);
     assertNull(machine.find(TASK, ATTEMPT));
   }
 
   @Test
   void onlyTokenOfThisGenerationReconcilesMachine() {
-    receive(worker.empty(1, 3 * MachineConstants.TOKENS_PER_GENERATION - 1), 1);
+    receive(worker.withoutTasks(1, 3 * MachineConstants.TOKENS_PER_GENERATION - 1), 1);
     assertFalse(machine.isReconciled());
-    receive(worker.empty(1, machine.token()), 2);
+    receive(worker.withoutTasks(1, machine.token()), 2);
     assertTrue(machine.isReconciled());
-    receive(worker.empty(1, 4 * MachineConstants.TOKENS_PER_GENERATION), 3);
+    receive(worker.withoutTasks(1, 4 * MachineConstants.TOKENS_PER_GENERATION), 3);
     assertFalse(machine.isReconciled());
   }
 
@@ -82,14 +82,14 @@
   void heartbeatOfExpiredEpochIsStale() {
     acceptAndSendStart();
     machine.expireLease();
-    assertTrue(machine.isStale(worker.empty(1, machine.token())));
-    assertFalse(machine.isStale(worker.empty(2, machine.token())));
+    assertTrue(machine.isStale(worker.withoutTasks(1, machine.token())));
+    assertFalse(machine.isStale(worker.withoutTasks(2, machine.token())));
   }
 
   @Test
   void heartbeatWithOlderSerialIsStale() {
-    Heartbeat old = worker.empty(1, 0);
-    receive(worker.empty(1, 0), 1);
+    Heartbeat old = worker.withoutTasks(1, 0);
+    receive(worker.withoutTasks(1, 0), 1);
     assertTrue(machine.isStale(old));
   }
 
@@ -98,7 +98,7 @@
     receive(taskIn(TaskState.RUNNING, 0), 1);
     machine.acceptStart(start("wk-2", 8L), 2);
     machine.find(TASK, ATTEMPT).requestStop(0);
-    assertFalse(machine.isOwned());
+    assertFalse(machine.isGenerationSeen());
     var commands = machine.takeCommands(WorkerChannel.HEARTBEAT, true, 3);
     assertEquals(1, commands.size());
     assertEquals("stop", commands.get(0).path("verb").asText());
--- a/src/test/java/org/sandford/machine/QuarantineTrackerTest.java
+++ b/src/test/java/org/sandford/machine/QuarantineTrackerTest.java
@@ -11,18 +11,18 @@
 
   @Test
   void failuresOfTwoJobsInARowQuarantineMachine() {
-    tracker.taskExited("wk-1", ExitCause.ERROR);
-    tracker.taskExited("wk-1", ExitCause.ERROR);
+    tracker.recordExit("wk-1", ExitCause.ERROR);
+    tracker.recordExit("wk-1", ExitCause.ERROR);
     assertFalse(tracker.isQuarantined());
-    tracker.taskExited("wk-2", ExitCause.ERROR);
+    tracker.recordExit("wk-2", ExitCause.ERROR);
     assertTrue(tracker.isQuarantined());
   }
 
   @Test
   void taskThatIsDoneClearsEarlierFailures() {
-    tracker.taskExited("wk-1", ExitCause.ERROR);
-    tracker.taskExited("wk-2", ExitCause.DONE);
-    tracker.taskExited("wk-3", ExitCause.ERROR);
+    tracker.recordExit("wk-1", ExitCause.ERROR);
+    tracker.recordExit("wk-2", ExitCause.DONE);
+    tracker.recordExit("wk-3", ExitCause.ERROR);
     assertFalse(tracker.isQuarantined());
   }
 }
--- a/src/test/java/org/sandford/machine/ReservationsTest.java
+++ b/src/test/java/org/sandford/machine/ReservationsTest.java
@@ -27,10 +27,10 @@
   }
 
   @Test
-  void startOfLaterRankLeavesWhatAllEarlierJobsReserved() {
+  void startMustLeaveWhatPrecedingJobsReserved() {
     reserve("wk-1", 4);
     reserve("wk-2", 2);
-    ReservedResources reserved = reservations.aheadOf(start("wk-3", NORMAL, 1), 1);
+    ReservedResources reserved = reservations.reservedByPrecedingJobs(start("wk-3", NORMAL, 1), 1);
     assertEquals(new ReservedResources(6, 0, 16), reserved);
   }
 
@@ -38,9 +38,9 @@
   void jobMayTakeWhatItReservedItself() {
     reserve("wk-1", 4);
     StartTask start = start("wk-1", URGENT, 1);
-    assertEquals(new ReservedResources(0, 0, 0), reservations.aheadOf(start, 1));
+    assertEquals(new ReservedResources(0, 0, 0), reservations.reservedByPrecedingJobs(start, 1));
     reservations.consume(start);
-    ReservedResources rest = reservations.aheadOf(start("wk-3", NORMAL, 1), 1);
+    ReservedResources rest = reservations.reservedByPrecedingJobs(start("wk-3", NORMAL, 1), 1);
     assertEquals(new ReservedResources(3, 0, 6), rest);
   }
 
--- a/src/test/java/org/sandford/machine/WorkerLeaseTest.java
+++ b/src/test/java/org/sandford/machine/WorkerLeaseTest.java
@@ -13,29 +13,29 @@
     return (long) (seconds * 1e9);
   }
 
-  private boolean hasRunOut(boolean isOwned, double seconds) {
-    return lease.hasRunOut(isOwned, 16, 46, at(seconds));
+  private boolean isExpiryCertain(boolean isGenerationSeen, double seconds) {
+    return lease.isExpiryCertain(isGenerationSeen, 16, 46, at(seconds));
   }
 
   @Test
-  void leaseOfOwnedWorkerRunsOutAfterLastRenewal() {
-    lease.heartbeatReceived(true, at(10));
+  void leaseOfWorkerThatSawOwnersTokenExpiresAfterLastRenewal() {
+    lease.recordHeartbeat(true, at(10));
     lease.renew(at(10));
-    assertFalse(hasRunOut(true, 26));
-    assertTrue(hasRunOut(true, 28));
+    assertFalse(isExpiryCertain(true, 26));
+    assertTrue(isExpiryCertain(true, 28));
   }
 
   @Test
   void workerThatNeverSawOwnersTokenMayHoldFormerOwnersLease() {
-    assertFalse(hasRunOut(false, 47));
-    assertTrue(hasRunOut(false, 49));
+    assertFalse(isExpiryCertain(false, 47));
+    assertTrue(isExpiryCertain(false, 49));
   }
 
   @Test
-  void messageOfWorkerEndsExpiryButNotOfExpiredEpoch() {
+  void heartbeatClearsExpiryButKeepsExpiredEpoch() {
     lease.expire(3);
     assertTrue(lease.isExpired());
-    lease.heartbeatReceived(true, at(60));
+    lease.recordHeartbeat(true, at(60));
     assertFalse(lease.isExpired());
     assertTrue(lease.isExpiredEpoch(3));
     assertFalse(lease.isExpiredEpoch(4));
