--- a/src/main/java/org/sandford/machine/CommandAudit.java
+++ b/src/main/java/org/sandford/machine/CommandAudit.java
@@ -5,7 +5,10 @@
 import org.sandford.model.TaskId;
 import org.sandford.peer.wire.StartTask;
 
-/** Writes to the audit log by what right this controller starts and stops tasks on its machines. */
+/**
+ * Records the starts and stops of tasks in the audit log, with this controller's authority for
+ * them.
+ */
 final class CommandAudit {
   private final Cluster cluster;
   private final AuditLog audit;
--- a/src/main/java/org/sandford/machine/CommandChannel.java
+++ b/src/main/java/org/sandford/machine/CommandChannel.java
@@ -3,8 +3,8 @@
 import org.sandford.constants.MachineConstants;
 
 /**
- * The state of the calls that this controller makes to one worker: commands and reconciliations go
- * one at a time, probes beside them. Runs on the event loop.
+ * Tracks the calls that this controller makes to one worker. Commands and reconciliations run one
+ * at a time; probes run beside them. Runs on the event loop.
  */
 final class CommandChannel {
   private final LastTime lastReconcileAttempt = new LastTime();
@@ -12,7 +12,7 @@
   private boolean probing;
   private int consecutiveFailures;
 
-  /** Whether a command or a reconciliation is under way. */
+  /** Returns whether a command or a reconciliation is in flight. */
   boolean isBusy() {
     return busy;
   }
@@ -25,7 +25,7 @@
     busy = false;
   }
 
-  /** Takes in that a reconciliation is tried now. */
+  /** Records that a reconciliation is attempted now. */
   void recordReconcileAttempt(long now) {
     lastReconcileAttempt.mark(now);
   }
@@ -34,17 +34,20 @@
     return lastReconcileAttempt.isOlderThanMs(MachineConstants.RECONCILE_RETRY_MS, now);
   }
 
-  /** Takes in that a command was answered. */
+  /** Records that a command was answered. */
   void recordSuccess() {
     consecutiveFailures = 0;
   }
 
-  /** Takes in that a command did not get through, or was not answered. */
+  /** Records that a command could not be sent, or was not answered. */
   void recordFailure() {
     consecutiveFailures++;
   }
 
-  /** Whether commands go with the responses to heartbeats, since calls to the worker fail. */
+  /**
+   * Returns whether calls to the worker keep failing, so that commands are sent only in the
+   * responses to heartbeats.
+   */
   boolean isBroken() {
     return consecutiveFailures >= MachineConstants.BROKEN_AFTER_FAILED_COMMANDS;
   }
--- a/src/main/java/org/sandford/machine/CommandDispatcher.java
+++ b/src/main/java/org/sandford/machine/CommandDispatcher.java
@@ -9,8 +9,8 @@
 
 /**
  * Sends commands to workers without waiting for their next heartbeat, one call at a time to each. A
- * call that goes unanswered may be carried out minutes later; a raised token makes it void. Runs on
- * the event loop.
+ * worker may carry out an unanswered call minutes later; a raised token invalidates the call. Runs
+ * on the event loop.
  */
 final class CommandDispatcher {
   private final EventLoop loop;
@@ -35,12 +35,12 @@
     this.reconciler = reconciler;
   }
 
-  /** Sends the machine's urgent commands, if it has any and takes them. */
+  /** Sends the machine's urgent commands, if it has any and can receive them. */
   void dispatch(Machine machine) {
     boolean ready =
         machine.state() == MachineState.UP || machine.state() == MachineState.INTERRUPTION_NOTICED;
-    // A stop is safe without a session lease: it names an attempt, and a later owner of the machine
-    // has a higher token.
+    // A stop is safe without a session lease: it applies to one attempt only, and a later owner of
+    // the machine has a higher token.
     boolean mayStart = machine.state() == MachineState.UP && cluster.sessionLeaseValid();
     long now = loop.nanos();
     if (!machines.isCurrent(machine)
@@ -82,7 +82,9 @@
     }
   }
 
-  /** Nothing was carried out, nor will it be. */
+  /**
+   * Removes the starts, which the worker has not carried out and never will, and reconciles later.
+   */
   private void onNotCarriedOut(Machine machine, List<TaskEntry> starts, Reply reply) {
     machine.tasks().removeStartsAwaitingReply(starts);
     if (reply.status() == Reply.NOT_SENT) {
--- a/src/main/java/org/sandford/machine/CommandScheduler.java
+++ b/src/main/java/org/sandford/machine/CommandScheduler.java
@@ -4,8 +4,8 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * Has commands dispatched to a machine after the present task of the event loop, so that what one
- * task decides goes out together.
+ * Schedules the dispatch of a machine's commands after the current event loop task, so that all
+ * commands decided in one task are sent together.
  */
 final class CommandScheduler {
   private final EventLoop loop;
@@ -15,7 +15,7 @@
     this.loop = loop;
   }
 
-  /** Names who dispatches; called once, before anything is scheduled. */
+  /** Sets the dispatcher; called once, before the first {@link #schedule}. */
   void setDispatcher(Consumer<Machine> machineDispatcher) {
     dispatcher = machineDispatcher;
   }
--- a/src/main/java/org/sandford/machine/FencingTokens.java
+++ b/src/main/java/org/sandford/machine/FencingTokens.java
@@ -3,15 +3,15 @@
 import org.sandford.constants.MachineConstants;
 
 /**
- * The fencing tokens of one machine under one generation of its assignment. A worker refuses
- * commands with a token below the highest that it has seen, so a raised token voids every command
- * that may still be under way. Runs on the event loop.
+ * Generates the fencing tokens of one machine under one generation of its assignment. A worker
+ * refuses commands with a token below the highest that it has seen, so a raised token invalidates
+ * every command still in flight. Runs on the event loop.
  */
 final class FencingTokens {
   private final long generation;
   private long raises;
 
-  /** The token that the worker must have seen before its machine counts as settled. */
+  /** The token that the worker must have seen before its machine leaves RECONCILING. */
   private long requiredToken;
 
   private long seenToken;
@@ -21,38 +21,48 @@
     this.requiredToken = current();
   }
 
-  /** The token of commands sent now: the generation, and above it the raises of this owner. */
+  /**
+   * Returns the token for commands sent now: a range of tokens per generation, plus this owner's
+   * raises.
+   */
   long current() {
     return generation * MachineConstants.TOKENS_PER_GENERATION + raises;
   }
 
-  /** Makes every command sent so far void once the worker has seen the new token. */
+  /** Invalidates every command sent so far, once the worker has seen the new token. */
   void raise() {
     raises++;
   }
 
-  /** Raises the token; the machine is not settled until the worker has seen it. */
+  /**
+   * Raises the token; {@link #isRequiredTokenSeen} is false until the worker has seen the new one.
+   */
   void raiseAndRequire() {
     raise();
     requiredToken = current();
   }
 
-  /** Takes in the highest token that the worker has seen. */
+  /** Records the highest token that the worker has seen. */
   void recordSeenToken(long token) {
     seenToken = Math.max(seenToken, token);
   }
 
-  /** Whether the worker has seen the token that voids what may still be under way. */
+  /** Returns whether the worker has seen the token that invalidates commands of unknown outcome. */
   boolean isRequiredTokenSeen() {
     return seenToken >= requiredToken;
   }
 
-  /** Whether the worker has seen a token of this generation, which voids any former owner's. */
+  /**
+   * Returns whether the worker has seen a token of this generation, which invalidates any former
+   * owner's.
+   */
   boolean isGenerationSeen() {
     return seenToken >= generation * MachineConstants.TOKENS_PER_GENERATION;
   }
 
-  /** Whether the worker has seen a token of a later generation: another owner commands it. */
+  /**
+   * Returns whether the worker has seen a token of a later generation, which another owner uses.
+   */
   boolean isSuperseded() {
     return seenToken >= (generation + 1) * MachineConstants.TOKENS_PER_GENERATION;
   }
--- a/src/main/java/org/sandford/machine/Heartbeat.java
+++ b/src/main/java/org/sandford/machine/Heartbeat.java
@@ -8,13 +8,13 @@
 /**
  * A worker's heartbeat with the status of its machine.
  *
- * @param address host and port at which the worker takes commands; empty when it names none
+ * @param address host and port at which the worker accepts commands; empty if it reports none
  * @param instanceType the machine's instance type
- * @param spot whether the cloud may take the machine back
- * @param agentEpoch the incarnation of the worker's agent; a later one begins without tasks
- * @param serial rises with each message of one agent epoch
+ * @param spot whether the cloud may reclaim the machine
+ * @param agentEpoch the incarnation of the worker's agent; a new one starts without tasks
+ * @param serial increases with each message of one agent epoch
  * @param token the highest fencing token that the worker has seen
- * @param interruptionNoticed whether the cloud has announced that it takes the machine back
+ * @param interruptionNoticed whether the cloud has announced that it will reclaim the machine
  */
 record Heartbeat(
     String machine,
--- a/src/main/java/org/sandford/machine/HeartbeatHandler.java
+++ b/src/main/java/org/sandford/machine/HeartbeatHandler.java
@@ -13,8 +13,8 @@
 import org.sandford.settings.Settings;
 
 /**
- * Answers workers' heartbeats. An answer renews the worker's lease, so it is given only while this
- * controller owns the machine and may renew leases. Runs on the event loop.
+ * Answers workers' heartbeats. A 200 response renews the worker's lease, so it is sent only while
+ * this controller owns the machine and may renew leases. Runs on the event loop.
  */
 final class HeartbeatHandler {
   private final EventLoop loop;
@@ -43,9 +43,9 @@
   }
 
   /**
-   * Takes in a heartbeat and answers it: 200 with token and commands, 421 with the owner's label
-   * when another controller owns the machine, 400 when it is none, 503 when the lease must not be
-   * renewed now.
+   * Processes a heartbeat and answers it: 200 with token and commands, 421 with the owner's label
+   * when another controller owns the machine, 400 when the body is not a heartbeat, 503 when the
+   * lease must not be renewed now or a newer message is known.
    */
   ApiResponse handle(JsonNode body) {
     if (!(HeartbeatReader.read(body) instanceof Heartbeat heartbeat)) {
@@ -84,7 +84,7 @@
     return ApiResponse.of(200, WorkerCommands.heartbeatResponseBody(machine.token(), commands));
   }
 
-  /** The machine is of another shard, or of none yet. */
+  /** Answers 421 for a machine that is in another shard or in none yet. */
   private ApiResponse misdirected(Heartbeat heartbeat, MachineAssignment assignment) {
     announcer.announce(heartbeat);
     String owner = assignment == null ? "" : Cluster.labelOf(assignment.owner());
--- a/src/main/java/org/sandford/machine/HeartbeatProcessor.java
+++ b/src/main/java/org/sandford/machine/HeartbeatProcessor.java
@@ -5,8 +5,8 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * Takes in what workers report, in heartbeats and in replies to commands: the machine's state, its
- * tasks, and which of them have to end. Runs on the event loop.
+ * Applies workers' messages, which are heartbeats and replies to commands. Updates the machine's
+ * state and tasks, and ends tasks of jobs that have ended. Runs on the event loop.
  */
 final class HeartbeatProcessor {
   private final EventLoop loop;
@@ -16,7 +16,7 @@
   private final CommandScheduler commands;
 
   /**
-   * @param isTerminal whether the end of the job of this id is known here
+   * @param isTerminal returns whether the job of an id is known to have ended
    */
   HeartbeatProcessor(
       EventLoop loop,
@@ -31,7 +31,7 @@
     this.commands = commands;
   }
 
-  /** Takes in a message that is not stale. */
+  /** Applies a message that is not stale. */
   void process(Machine machine, Heartbeat heartbeat, WorkerChannel source) {
     long now = loop.nanos();
     boolean changed = machine.applyHeartbeat(heartbeat, source, now);
@@ -63,8 +63,9 @@
   }
 
   /**
-   * Ends what is here of jobs whose end is known. The end may have been received before the machine
-   * was assigned to this controller, and the team's owner may have forgotten the job by now.
+   * Ends the machine's tasks of jobs that are known to have ended. The end may have been received
+   * before the machine was assigned to this controller, and the team's owner may no longer know the
+   * job.
    */
   private void endTasksOfTerminalJobs(Machine machine) {
     for (TaskEntry entry : machine.tasks().all()) {
--- a/src/main/java/org/sandford/machine/HeartbeatReader.java
+++ b/src/main/java/org/sandford/machine/HeartbeatReader.java
@@ -9,10 +9,10 @@
 import org.sandford.peer.wire.TaskState;
 
 /**
- * Reads workers' messages in the words of the users' protocol: a task is its {@code piece}, an
- * attempt its {@code try}, the agent epoch its {@code tenure}, the fencing token its {@code fence},
- * an instance type its {@code machine_kind}, a zone its {@code site}, and a spot instance is {@code
- * spotAllowed}.
+ * Parses workers' messages. The protocol's field names differ from the names in the code: {@code
+ * host} is the machine, {@code piece} the task, {@code try} the attempt, {@code tenure} the agent
+ * epoch, {@code fence} the fencing token, {@code machine_kind} the instance type, {@code site} the
+ * zone, and {@code reclaimable} tells a spot instance.
  */
 final class HeartbeatReader {
   private HeartbeatReader() {}
@@ -51,12 +51,12 @@
 
   private static TaskState state(String protocolValue) {
     return switch (protocolValue) {
-      // A gang's task that waits for the others holds its resources and does not run yet, like one
-      // that pulls its image.
+      // A gang's task that waits for the others uses its resources but does not run yet, like a
+      // task that pulls its image.
       case "pulling", "gathering" -> TaskState.PULLING_IMAGE;
       case "saving" -> TaskState.CHECKPOINTING;
       case "ended" -> TaskState.EXITED;
-      // A task in an unknown state may hold its resources.
+      // A task in an unknown state may use its resources.
       default -> TaskState.RUNNING;
     };
   }
@@ -65,7 +65,7 @@
     return switch (protocolValue) {
       case "" -> ExitCause.NONE;
       case "done" -> ExitCause.DONE;
-      // A gang that broke up is the fault of neither the machine nor the job.
+      // An incomplete gang is the fault of neither the machine nor the job.
       case "stopped", "peers", "alone" -> ExitCause.STOPPED;
       case "full" -> ExitCause.INSUFFICIENT_RESOURCES;
       case "in_use" -> ExitCause.ALREADY_PRESENT;
--- a/src/main/java/org/sandford/machine/KnownImages.java
+++ b/src/main/java/org/sandford/machine/KnownImages.java
@@ -8,24 +8,27 @@
 import org.sandford.constants.MachineConstants;
 
 /**
- * The images that a machine's worker has in its cache, as far as they are known here: those of
- * tasks that ran there, the least recently used first. Runs on the event loop.
+ * Tracks the images that a machine's worker is known to cache: those of tasks that ran there, least
+ * recently used first. Runs on the event loop.
  */
 final class KnownImages {
   private final Set<String> images = new LinkedHashSet<>();
   private int additions;
 
-  /** Takes over what another owner, or another entry of the same machine, knew. */
+  /** Adds the images known to a former owner. */
   void addAll(Collection<String> others) {
     images.addAll(others);
   }
 
-  /** Takes over what another entry of the same machine knew. */
+  /** Adds the images known under an earlier assignment of the same machine. */
   void addAll(KnownImages other) {
     images.addAll(other.images);
   }
 
-  /** Takes in that a task with this image runs; does nothing while the image is not known. */
+  /**
+   * Records that a task with this image runs; does nothing if the image is empty, which means
+   * unknown.
+   */
   void recordUse(String image) {
     if (image.isEmpty()) {
       return;
@@ -38,7 +41,10 @@
     }
   }
 
-  /** Counts images that were added by use; it differs when a snapshot would. */
+  /**
+   * Returns how many images were added by use. An unchanged count means that the list in a snapshot
+   * has the same images.
+   */
   int additions() {
     return additions;
   }
--- a/src/main/java/org/sandford/machine/LastTime.java
+++ b/src/main/java/org/sandford/machine/LastTime.java
@@ -1,17 +1,20 @@
 package org.sandford.machine;
 
-/** When something last happened, on the steady clock, if it ever did. Runs on the event loop. */
+/**
+ * Holds the steady-clock time of an event's last occurrence, if there was any. Runs on the event
+ * loop.
+ */
 final class LastTime {
   private boolean happened;
   private long atNanos;
 
-  /** Records that it happens now. */
+  /** Records that the event occurs now. */
   void mark(long now) {
     happened = true;
     atNanos = now;
   }
 
-  /** Takes over what another has recorded. */
+  /** Copies the time that another instance has recorded. */
   void copyFrom(LastTime other) {
     happened = other.happened;
     atNanos = other.atNanos;
@@ -21,17 +24,17 @@
     return happened;
   }
 
-  /** Whether more than so many seconds have passed since, or it never happened. */
+  /** Returns whether the event occurred more than the given seconds ago, or never. */
   boolean isOlderThan(double seconds, long now) {
     return !happened || (now - atNanos) / 1e9 > seconds;
   }
 
-  /** Whether less than so many seconds have passed since. */
+  /** Returns whether the event occurred less than the given seconds ago. */
   boolean isWithin(double seconds, long now) {
     return happened && (now - atNanos) / 1e9 < seconds;
   }
 
-  /** Whether more than so many milliseconds have passed since, or it never happened. */
+  /** Returns whether the event occurred more than the given milliseconds ago, or never. */
   boolean isOlderThanMs(long millis, long now) {
     return !happened || now - atNanos > millis * 1_000_000L;
   }
--- a/src/main/java/org/sandford/machine/LostMachineDetector.java
+++ b/src/main/java/org/sandford/machine/LostMachineDetector.java
@@ -14,9 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds machines whose workers have fallen silent: probes one whose heartbeat is overdue, declares
- * it lost when it does not answer, and declares its lease expired once its worker must have killed
- * its tasks. Runs on the event loop.
+ * Detects machines whose workers have stopped sending heartbeats. Probes a worker whose heartbeat
+ * is overdue, declares its machine lost if it does not answer, and records its lease as expired
+ * once the worker must have killed its tasks. Runs on the event loop.
  */
 final class LostMachineDetector {
   private static final Logger log = LoggerFactory.getLogger(LostMachineDetector.class);
@@ -74,7 +74,10 @@
     }
   }
 
-  /** Whether its worker should be heard from: it has come up, and the machine was not given up. */
+  /**
+   * Returns whether the worker should send heartbeats: the machine has an address and is neither
+   * lost nor decommissioned.
+   */
   private static boolean isHeartbeatExpected(Machine machine) {
     return machine.assignment().hasAddress()
         && machine.state() != MachineState.LOST
@@ -89,8 +92,8 @@
   }
 
   /**
-   * Probes the other machines of a zone where several are lost: whether the whole zone is
-   * unreachable must be known before the first machines are decommissioned.
+   * Probes the other machines of a zone in which several are lost, because it must be known whether
+   * the whole zone is unreachable before the first machines are decommissioned.
    */
   private void probeZone(String zone) {
     long now = loop.nanos();
@@ -118,7 +121,7 @@
     return now - machine.lease().lastHeartbeatAt() > MachineConstants.PROBE_TIMEOUT_MS * 1_000_000L;
   }
 
-  /** Asks a worker for a heartbeat; one that does not answer counts as lost. */
+  /** Requests a heartbeat from a worker. Its machine counts as lost if it does not answer. */
   private void probe(Machine machine) {
     if (machine.channel().isProbing()) {
       return;
--- a/src/main/java/org/sandford/machine/Machine.java
+++ b/src/main/java/org/sandford/machine/Machine.java
@@ -14,9 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One machine of this shard under one assignment: its state, what its worker last reported, which
- * commands are under way, and which tasks it holds or may hold. It decides nothing about jobs. Runs
- * on the event loop.
+ * Holds the state of one machine of this shard under one assignment: the worker's last report, the
+ * commands in flight, and the tasks that the machine runs or may run. Makes no decisions about
+ * jobs. Runs on the event loop.
  */
 final class Machine {
   private static final Logger log = LoggerFactory.getLogger(Machine.class);
@@ -31,7 +31,7 @@
   private final TaskTable tasks;
   private final Reservations reservations = new Reservations();
 
-  /** When the token was last raised to void starts whose exit is acknowledged. */
+  /** When {@link #invalidateRepeatableStarts} last raised the token. */
   private final LastTime startsInvalidated = new LastTime();
 
   private MachineState state;
@@ -51,8 +51,8 @@
   }
 
   /**
-   * The same machine under a newer assignment, with what is known of its worker: the agent epoch,
-   * the renewal of its lease and its images.
+   * Returns the same machine under a newer assignment. Keeps the agent epoch, the last lease
+   * renewal and the known images of the worker.
    */
   Machine reassigned(MachineAssignment next, long now) {
     Machine successor = new Machine(name, next, now);
@@ -62,7 +62,7 @@
     return successor;
   }
 
-  /** Takes over what the former owner last reported of images and tasks. */
+  /** Copies the images and tasks of the former owner's last snapshot. */
   void restoreFrom(MachineSnapshot former) {
     images.addAll(former.images);
     former.tasks.forEach(tasks::addFormerSnapshot);
@@ -97,8 +97,8 @@
   }
 
   /**
-   * The one place where the machine's state changes; false when it is in that state already. A
-   * decommissioned machine stays so.
+   * Changes the machine's state; every state change goes through this method. Returns false if the
+   * state does not change. A decommissioned machine never leaves that state.
    */
   boolean transitionTo(MachineState next, StateChangeReason reason) {
     if (state == next || state == MachineState.DECOMMISSIONED) {
@@ -115,42 +115,42 @@
     return true;
   }
 
-  /** Whether the worker has been heard from, here or under an earlier entry of the machine. */
+  /** Returns whether a message of the worker has arrived, under this or an earlier assignment. */
   boolean isAgentEpochKnown() {
     return agentEpoch != 0;
   }
 
-  /** The incarnation of the worker's agent that was last heard from; they count from 1. */
+  /** Returns the incarnation of the worker's agent that sent the last message; counts from 1. */
   long agentEpoch() {
     return agentEpoch;
   }
 
-  /** The fencing token of commands sent now. */
+  /** Returns the fencing token for commands sent now. */
   long token() {
     return tokens.current();
   }
 
-  /** Whether the worker has seen the token that voids what may still be under way. */
+  /** Returns whether the worker has seen the token that invalidates commands of unknown outcome. */
   boolean isRequiredTokenSeen() {
     return tokens.isRequiredTokenSeen();
   }
 
-  /** Whether the worker obeys this owner and no former one. */
+  /** Returns whether the worker has seen this owner's token, and so refuses any former owner. */
   boolean isGenerationSeen() {
     return tokens.isGenerationSeen();
   }
 
-  /** Whether the worker obeys a later owner. */
+  /** Returns whether the worker has seen a later owner's token, and so refuses this owner. */
   boolean isSuperseded() {
     return tokens.isSuperseded();
   }
 
-  /** Whether the tasks known here are all that the machine holds or may yet be made to hold. */
+  /** Returns whether every task that the machine runs, or may still start, is known here. */
   boolean isReconciled() {
     return !assignment.hasAddress() || lease.isExpired() || (isGenerationSeen() && !isSuperseded());
   }
 
-  /** Whether the cloud has announced that it takes the machine back. */
+  /** Returns whether the cloud has announced that it will reclaim the machine. */
   boolean isInterruptionNoticed() {
     return interruptionNoticed;
   }
@@ -159,14 +159,14 @@
     return draining;
   }
 
-  /** Begins or ends a drain; false when nothing changes by it. */
+  /** Starts or ends a drain. Returns false if the machine was in that mode already. */
   boolean setDraining(boolean drain) {
     boolean changed = draining != drain;
     draining = drain;
     return changed;
   }
 
-  /** Whether starts are accepted, as far as the machine itself is concerned. */
+  /** Returns whether the state of the machine permits starts; does not check resources. */
   boolean isSchedulable() {
     return state == MachineState.UP
         && !quarantine.isQuarantined()
@@ -180,30 +180,33 @@
     reservations.reserve(request, now);
   }
 
-  /** Removes reservations whose time has passed; true when there was any. */
+  /** Removes expired reservations. Returns whether there were any. */
   boolean removeExpiredReservations(long now) {
     return reservations.removeExpired(now);
   }
 
-  /** What is reserved for jobs that go before the one to be started. */
+  /**
+   * Returns the resources that are reserved for jobs preceding the start's job, by rank and then by
+   * arrival.
+   */
   ReservedResources reservedByPrecedingJobs(StartTask start, long now) {
     return reservations.reservedByPrecedingJobs(start, now);
   }
 
-  /** Accepts a start; it goes out with the next commands. */
+  /** Accepts a start, which is sent with the next commands. */
   void acceptStart(StartTask request, long now) {
     tasks.add(request, now);
     reservations.consume(request);
   }
 
-  /** The attempt's entry, or null as of a map when there is none. */
+  /** Returns the attempt's entry, or null if there is none. */
   TaskEntry find(TaskId task, long attempt) {
     return tasks.get(task, attempt);
   }
 
   /**
-   * Whether the message is older than what is known. One of an agent epoch whose lease has expired
-   * was delayed: its tasks are gone, and some run elsewhere.
+   * Returns whether the message is older than the last one. A message of an agent epoch whose lease
+   * has expired is also stale: it was delayed, its tasks are gone, and some run elsewhere.
    */
   boolean isStale(Heartbeat heartbeat) {
     return lease.isExpiredEpoch(heartbeat.agentEpoch())
@@ -212,10 +215,11 @@
   }
 
   /**
-   * Takes in a message of the worker that is not stale.
+   * Applies a message of the worker that is not stale.
    *
-   * @param source whether it came as a heartbeat or in the reply to a command
-   * @return false when no snapshot changes by it, as with most heartbeats of a large shard
+   * @param source whether the message is a heartbeat or the reply to a command
+   * @return false if the machine's snapshot does not change, as for most heartbeats of a large
+   *     shard
    */
   boolean applyHeartbeat(Heartbeat heartbeat, WorkerChannel source, long now) {
     boolean wasReconciled = isReconciled();
@@ -234,25 +238,29 @@
         || images.additions() != imagesBefore;
   }
 
-  /** The worker's lease has surely expired, and with it every task and command of its epoch. */
+  /** Records that the worker's lease has expired and removes every task of its agent epoch. */
   void expireLease() {
     lease.expire(agentEpoch);
     tasks.clear();
   }
 
-  /** Whether the worker must have killed its tasks by now. */
+  /**
+   * Returns whether the lease has expired even with clock drift, so that the worker must have
+   * killed its tasks.
+   */
   boolean isLeaseExpiryCertain(Settings.Facts facts, long now) {
     return lease.isExpiryCertain(isGenerationSeen(), facts.leaseS(), facts.cancelS(), now);
   }
 
   /**
-   * Raises the token when an exit is to be acknowledged whose start may be repeated. A command that
-   * was carried out can be repeated minutes later; a worker that has forgotten the attempt would
-   * run it again, beside its successor or after its job was cancelled. The raised token may go with
-   * the acknowledgement: the worker takes in both or neither. No command may be under way, since it
-   * would be refused.
+   * Raises the token before the exit of an attempt is acknowledged whose start command may be
+   * delivered again. The network can repeat a command minutes later; a worker that has forgotten
+   * the attempt would run it again, beside its successor or after its job was cancelled. The
+   * response that carries the acknowledgement may also carry the raised token, since the worker
+   * applies both or neither. Does nothing while a command is in flight, since the worker would
+   * refuse it.
    *
-   * @param minIntervalS seconds that must lie between two raises
+   * @param minIntervalS minimum seconds between two raises
    */
   void invalidateRepeatableStarts(long now, double minIntervalS) {
     if (channel.isBusy() || startsInvalidated.isWithin(minIntervalS, now)) {
@@ -268,9 +276,9 @@
   }
 
   /**
-   * The commands to send now, which count as sent from here on. A stop goes again until a message
-   * without the task comes, and also with the response that first shows the worker a new token,
-   * which renews its lease.
+   * Returns the commands to send now and marks them as sent. A stop is repeated until a message
+   * without the task arrives. It is also part of the response that first shows the worker a new
+   * token, since that response renews its lease.
    */
   ArrayNode takeCommands(WorkerChannel workerChannel, boolean mayStart, long now) {
     ArrayNode commands = Json.array();
@@ -293,8 +301,8 @@
   }
 
   /**
-   * Whether there is anything that does not wait for the next heartbeat: a start, or a stop. A
-   * worker whose heartbeats reach nobody is stopped by repeated commands alone.
+   * Returns whether a start or a stop is due, which is sent without waiting for the next heartbeat.
+   * Repeated stop commands are the only way to stop a task when no heartbeat of its worker arrives.
    */
   boolean hasUrgentCommands(boolean mayStart, long now) {
     for (TaskEntry entry : tasks.all()) {
@@ -306,7 +314,7 @@
     return false;
   }
 
-  /** Raises the token over starts whose commands went unanswered. */
+  /** Raises the token and marks starts whose commands were not answered as unconfirmed. */
   void markStartsUnconfirmed(List<TaskEntry> starts) {
     tokens.raiseAndRequire();
     for (TaskEntry entry : starts) {
--- a/src/main/java/org/sandford/machine/MachineAnnouncer.java
+++ b/src/main/java/org/sandford/machine/MachineAnnouncer.java
@@ -11,8 +11,8 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * Tells the leader of machines that the assignment map lacks, or lacks the address of. Runs on the
- * event loop.
+ * Reports machines to the leader that are missing from the assignment map or have no address in it.
+ * Runs on the event loop.
  */
 final class MachineAnnouncer {
   private final EventLoop loop;
@@ -26,7 +26,10 @@
     this.links = links;
   }
 
-  /** Announces the machine that sent this heartbeat, if the map lacks it and not too often. */
+  /**
+   * Announces the machine that sent this heartbeat if the map lacks it or its address, at most once
+   * per {@link ClusterConstants#LEADER_CHECK_MS}.
+   */
   void announce(Heartbeat heartbeat) {
     MachineAssignment assignment = cluster.machines().of().get(heartbeat.machine());
     if (assignment != null && assignment.hasAddress()) {
@@ -48,7 +51,10 @@
             heartbeat.spot()));
   }
 
-  /** Forgets machines that were not announced for long. */
+  /**
+   * Removes machines whose last announcement is older than {@link
+   * MachineConstants#ANNOUNCEMENT_RETENTION_MS}.
+   */
   void removeExpired(long now) {
     announcedAt
         .values()
--- a/src/main/java/org/sandford/machine/MachineMonitor.java
+++ b/src/main/java/org/sandford/machine/MachineMonitor.java
@@ -4,8 +4,8 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * Checks all machines of the shard every {@link MachineConstants#MACHINE_CHECK_MS}: what time alone
- * brings about. Runs on the event loop.
+ * Runs the time-based checks of all machines of the shard every {@link
+ * MachineConstants#MACHINE_CHECK_MS}. Runs on the event loop.
  */
 final class MachineMonitor {
   private final EventLoop loop;
@@ -33,7 +33,7 @@
     this.announcer = announcer;
   }
 
-  /** Begins to check; called once. */
+  /** Starts the checks; called once. */
   void start() {
     loop.every(MachineConstants.MACHINE_CHECK_MS, this::check);
   }
--- a/src/main/java/org/sandford/machine/MachineReconciler.java
+++ b/src/main/java/org/sandford/machine/MachineReconciler.java
@@ -8,9 +8,9 @@
 import org.sandford.runtime.Json;
 
 /**
- * Reconciles machines that were taken over, or whose commands had an unknown outcome: shows their
- * workers the present token at once instead of waiting for the next heartbeat. Runs on the event
- * loop.
+ * Reconciles machines that changed their owner, are lost, or did not accept or answer commands.
+ * Sends the current token to their workers immediately instead of waiting for the next heartbeat.
+ * Runs on the event loop.
  */
 final class MachineReconciler {
   private final EventLoop loop;
@@ -26,7 +26,7 @@
     this.workers = workers;
   }
 
-  /** Reconciles the machine now, if it needs that and nothing else is under way to it. */
+  /** Reconciles the machine now, if it needs that and no other call to it is in flight. */
   void reconcile(Machine machine) {
     if (!isReconcileAllowed(machine)) {
       return;
@@ -34,7 +34,7 @@
     machine.channel().beginCall();
     machine.channel().recordReconcileAttempt(loop.nanos());
     if (!machine.isAgentEpochKnown()) {
-      // Commands name the agent epoch, so it has to be known first.
+      // Commands include the agent epoch, so it must be known first.
       workers.requestHeartbeat(
           machine, MachineConstants.COMMAND_TIMEOUT_MS, reply -> onHeartbeatReply(machine, reply));
     } else {
@@ -72,12 +72,12 @@
     }
   }
 
-  /** Reconciles the machine after a pause. */
+  /** Reconciles the machine after {@link MachineConstants#RECONCILE_RETRY_MS}. */
   void reconcileLater(Machine machine) {
     loop.after(MachineConstants.RECONCILE_RETRY_MS, () -> reconcile(machine));
   }
 
-  /** Reconciles the machine if the last try was long enough ago. */
+  /** Reconciles the machine if the last attempt was long enough ago. */
   void retryIfDue(Machine machine, long now) {
     if (machine.channel().isReconcileDue(now)) {
       reconcile(machine);
--- a/src/main/java/org/sandford/machine/MachineRegistry.java
+++ b/src/main/java/org/sandford/machine/MachineRegistry.java
@@ -7,11 +7,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The machines that the assignment map gives to this controller. Runs on the event loop. */
+/** Holds the machines that the assignment map gives to this controller. Runs on the event loop. */
 final class MachineRegistry {
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** The machine of this name, or null as of a map when it is not of this shard. */
+  /** Returns the machine of this name, or null if it is not in this shard. */
   Machine get(String name) {
     return machines.get(name);
   }
@@ -20,17 +20,20 @@
     return machines.containsKey(name);
   }
 
-  /** Whether this object still stands for its machine: an answer to an older one is dropped. */
+  /**
+   * Returns whether this object is the current one of its machine. Replies for an outdated object
+   * are dropped.
+   */
   boolean isCurrent(Machine machine) {
     return machines.get(machine.name()) == machine;
   }
 
-  /** All machines, live: an iteration must not add or remove any. */
+  /** Returns a live view of all machines; the caller must not add or remove any while iterating. */
   Collection<Machine> all() {
     return machines.values();
   }
 
-  /** A copy of the names, in the order in which the machines were assigned. */
+  /** Returns a copy of the names, in the order in which the machines were assigned. */
   List<String> names() {
     return new ArrayList<>(machines.keySet());
   }
@@ -47,7 +50,7 @@
     machines.remove(name);
   }
 
-  /** How many machines are in each state, by the state's name in lower case. */
+  /** Returns the number of machines in each state, by the state's name in lower case. */
   Map<String, Integer> countByState() {
     Map<String, Integer> counts = new LinkedHashMap<>();
     for (Machine machine : machines.values()) {
--- a/src/main/java/org/sandford/machine/MachineShard.java
+++ b/src/main/java/org/sandford/machine/MachineShard.java
@@ -25,9 +25,9 @@
 import org.sandford.store.OpenJobReader;
 
 /**
- * The machines that this controller owns by the assignment map. It alone commands and answers their
- * workers, and tells the teams' owners what became of their tasks. This class assembles the parts
- * and passes calls on; all of it runs on the event loop.
+ * Manages the machines that the assignment map gives to this controller. Only their owner sends
+ * commands to their workers and answers them, and it reports the state of their tasks to the teams'
+ * owners. This class creates the components and delegates calls to them. Runs on the event loop.
  */
 public final class MachineShard {
   private final MachineRegistry machines = new MachineRegistry();
@@ -41,12 +41,12 @@
   private final PeerRequests peerRequests;
 
   /**
-   * Assembles the shard; nothing runs before {@link #start}. It is longer than other constructors
-   * and takes more collaborators, since each part and what it needs is named here once; no part
-   * takes more than seven.
+   * Creates the shard's components; nothing runs before {@link #start}. This constructor is longer
+   * and has more parameters than others because it connects all components; none of them takes more
+   * than seven parameters.
    *
-   * @param instanceTypes the instance type of this name, or null when it is not known yet
-   * @param isTerminal whether the end of the job of this id is known here
+   * @param instanceTypes returns the instance type of a name, or null if it is not known yet
+   * @param isTerminal returns whether the job of an id is known to have ended
    */
   public MachineShard(
       EventLoop loop,
@@ -95,33 +95,36 @@
     peerRequests = new PeerRequests(loop, cluster, machines, teams, publisher, stopper);
   }
 
-  /** Begins the periodic checks; called once. */
+  /** Starts the periodic checks; called once. */
   public void start() {
     monitor.start();
     publisher.start();
   }
 
-  /** Takes in a new assignment map: machines and teams may have changed their owners. */
+  /** Applies a new assignment map, in which machines and teams may have new owners. */
   public void mapChanged() {
     assignment.mapChanged();
   }
 
-  /** The snapshots of all machines, for a controller whose link comes up. */
+  /** Returns the snapshots of all machines, for a controller whose link has come up. */
   public SnapshotUpdate completeUpdate() {
     return publisher.completeUpdate();
   }
 
-  /** Answers whether a team's new owner is accepted, after the snapshots of what was before. */
+  /**
+   * Replies whether a team's new owner is accepted, after publishing the snapshots of all earlier
+   * changes.
+   */
   public void claimTeam(ClaimTeam claim, Consumer<Object> reply) {
     peerRequests.claimTeam(claim, reply);
   }
 
-  /** Answers whether a start is accepted; its outcome comes with a snapshot. */
+  /** Replies whether a start is accepted; a later snapshot shows its outcome. */
   public void startTask(StartTask request, Consumer<Object> reply) {
     startHandler.start(request, reply);
   }
 
-  /** Stops an attempt; the exit comes with a snapshot. */
+  /** Stops an attempt; a later snapshot shows its exit. */
   public void stopTask(StopTask request) {
     peerRequests.stopTask(request);
   }
@@ -131,42 +134,44 @@
     peerRequests.preempt(request);
   }
 
-  /** Takes in that an exit is recorded, so that the worker may forget the attempt. */
+  /**
+   * Records that the team's owner has recorded an exit, so that the worker may forget the attempt.
+   */
   public void acknowledgeExit(AcknowledgeExit request) {
     peerRequests.acknowledgeExit(request);
   }
 
-  /** Takes a machine out of service if it is idle or has to be replaced. */
+  /** Decommissions a machine if it is idle or must be replaced. */
   public void decommission(DecommissionMachine request) {
     peerRequests.decommission(request);
   }
 
-  /** Begins or ends a drain: a draining machine accepts no starts. */
+  /** Starts or ends a drain: a draining machine accepts no starts. */
   public void drain(DrainMachine request) {
     peerRequests.drain(request);
   }
 
-  /** A job's terminal state is stored: whatever of it is still here has to end. */
+  /** Ends all remaining tasks of a job whose terminal state is stored. */
   public void jobEnded(String job) {
     openJobs.jobEnded(job);
     stopper.endTasksOf(job);
   }
 
-  /** Ends of jobs may have been missed: the jobs of all tasks here are read again. */
+  /** Reads the jobs of all tasks again, since ends of jobs may have been missed. */
   public void jobEndsMissed() {
     openJobs.jobEndsMissed();
   }
 
   /**
    * Answers a worker's heartbeat: 200 with the token and commands, 421 with the owner's label when
-   * another controller owns the machine, 400 when the body is none, 503 when its lease must not be
-   * renewed now.
+   * another controller owns the machine, 400 when the body is not a heartbeat, 503 when the lease
+   * must not be renewed now or a newer message is known.
    */
   public ApiResponse handleHeartbeat(JsonNode body) {
     return heartbeatHandler.handle(body);
   }
 
-  /** How many machines are in each state, by the state's name in lower case. */
+  /** Returns the number of machines in each state, by the state's name in lower case. */
   public Map<String, Integer> countByState() {
     return machines.countByState();
   }
--- a/src/main/java/org/sandford/machine/MachineSnapshots.java
+++ b/src/main/java/org/sandford/machine/MachineSnapshots.java
@@ -11,16 +11,16 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * The snapshots of their machines that the owners of all shards last published, this controller's
- * own among them. They are only as new as the last update of their owner. Runs on the event loop.
+ * Holds the last published machine snapshots of all shards, including this controller's own. A
+ * snapshot is only as recent as its owner's last update. Runs on the event loop.
  */
 public final class MachineSnapshots {
   /**
-   * A snapshot as it was received.
+   * A snapshot with its sender and time of receipt.
    *
    * @param owner label of the controller that published it
-   * @param snapshot what it published
-   * @param at steady-clock nanoseconds at which it was received here
+   * @param snapshot the published snapshot
+   * @param at steady-clock time of receipt in nanoseconds
    */
   public record ReceivedSnapshot(String owner, MachineSnapshot snapshot, long at) {}
 
@@ -31,24 +31,29 @@
   private long readCount;
   private long receivedCount;
 
-  /** Begins without any snapshot. */
+  /** Creates an empty collection of snapshots. */
   public MachineSnapshots(EventLoop loop, Cluster cluster) {
     this.loop = loop;
     this.cluster = cluster;
   }
 
-  /** Counts snapshots that were read, so that tests can bound the cost of heartbeats and plans. */
+  /**
+   * Returns the number of snapshots read so far, by which tests bound the cost of heartbeats and
+   * planning.
+   */
   public long readCount() {
     return readCount;
   }
 
-  /** Counts snapshots that were received: heartbeats without news must not cause any. */
+  /**
+   * Returns the number of snapshots received so far; heartbeats without changes must not cause any.
+   */
   public long receivedCount() {
     return receivedCount;
   }
 
   /**
-   * Takes in an update; snapshots of an older generation than known are dropped.
+   * Applies an update. Drops snapshots of an older generation than the known one.
    *
    * @param from label of the controller that published it
    */
@@ -73,24 +78,24 @@
     return known != null && known.snapshot.generation > snapshot.generation;
   }
 
-  /** Forgets machines that a new assignment map lacks. */
+  /** Removes machines that are not in the new assignment map. */
   public void mapChanged() {
     received.keySet().removeIf(name -> !cluster.machines().of().containsKey(name));
   }
 
-  /** All snapshots, live, in the order in which their machines became known. */
+  /** Returns a live view of all snapshots, in the order in which their machines became known. */
   public Collection<ReceivedSnapshot> all() {
     readCount += received.size();
     return received.values();
   }
 
-  /** The machine's snapshot, or null as of a map when there is none. */
+  /** Returns the machine's snapshot, or null if there is none. */
   public ReceivedSnapshot get(String machine) {
     readCount++;
     return received.get(machine);
   }
 
-  /** Whether the snapshot is of the machine's owner by the assignment map as it is known here. */
+  /** Returns whether the snapshot is from the machine's owner in the assignment map known here. */
   public boolean isFromOwner(ReceivedSnapshot known) {
     MachineAssignment assignment = cluster.machines().of().get(known.snapshot.machine);
     return assignment != null
@@ -98,7 +103,10 @@
         && Cluster.isIncarnationOf(assignment.owner(), known.owner);
   }
 
-  /** Whether the controller of this label said last that its session lease is valid. */
+  /**
+   * Returns whether the last update of the controller with this label reported a valid session
+   * lease.
+   */
   public boolean isOwnerLeaseValid(String label) {
     return ownerLeaseValid.getOrDefault(label, false);
   }
--- a/src/main/java/org/sandford/machine/OpenJobResolver.java
+++ b/src/main/java/org/sandford/machine/OpenJobResolver.java
@@ -12,10 +12,10 @@
 import org.sandford.store.StoreClient;
 
 /**
- * Finds the jobs of tasks that workers report: whether they are open, and what their tasks need.
- * Reads the open jobs in the store, not more often than every {@link
- * MachineConstants#OPEN_JOBS_LIST_INTERVAL_MS}. A task whose job is not among them is ended. Runs
- * on the event loop.
+ * Looks up the jobs of tasks that workers report: whether they are open, and which resources their
+ * tasks need. Lists the open jobs in the store at most once per {@link
+ * MachineConstants#OPEN_JOBS_LIST_INTERVAL_MS}. Ends tasks whose job is not open. Runs on the event
+ * loop.
  */
 final class OpenJobResolver {
   private final EventLoop loop;
@@ -26,7 +26,7 @@
   private final Map<String, JobSpec> specs = new HashMap<>();
   private boolean listingRequested;
 
-  /** Rises when ends of jobs may have been missed: a listing begun before proves nothing more. */
+  /** Increases when ends of jobs may have been missed; listings started before are discarded. */
   private int invalidations;
 
   private long earliestListingAtMs;
@@ -45,12 +45,12 @@
     this.earliestListingAtMs = loop.millis();
   }
 
-  /** Forgets a job that has ended. */
+  /** Removes a job that has ended. */
   void jobEnded(String job) {
     specs.remove(job);
   }
 
-  /** Reads the jobs of all tasks again: ends of jobs may have been missed. */
+  /** Reads the jobs of all tasks again, since ends of jobs may have been missed. */
   void jobEndsMissed() {
     invalidations++;
     specs.clear();
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Fills in what is known of the machine's tasks and reads what is not; true when it filled in
-   * any.
+   * Sets the attributes of the machine's tasks from known jobs and requests a listing for the
+   * others. Returns whether it set any.
    */
   boolean applyKnownSpecs(Machine machine) {
     boolean missing = false;
@@ -144,8 +144,8 @@
   }
 
   /**
-   * Describes tasks of open jobs and ends those whose job was not open when the listing began: a
-   * task starts only once its job is stored, so the job has ended.
+   * Sets the attributes of tasks of open jobs and ends tasks that were known before the listing but
+   * whose job is not in it. A task starts only once its job is stored, so the job has ended.
    */
   private boolean resolveTasks(Machine machine, List<TaskEntry> unconfirmedAtListing) {
     boolean changed = false;
--- a/src/main/java/org/sandford/machine/PeerRequests.java
+++ b/src/main/java/org/sandford/machine/PeerRequests.java
@@ -18,9 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out what team owners and the leader request of this shard's machines, except starts. A
- * request for a machine of another shard, or of a former owner of a team, is dropped. Runs on the
- * event loop.
+ * Handles requests from team owners and the leader for this shard's machines, except starts. Drops
+ * requests for a machine of another shard and requests of a team's former owner. Runs on the event
+ * loop.
  */
 final class PeerRequests {
   private static final Logger log = LoggerFactory.getLogger(PeerRequests.class);
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Accepts a team's new owner, after which no earlier one starts anything here. The answer comes
-   * after the snapshots of all that was accepted before.
+   * Accepts a team's new owner; afterwards no earlier owner can start tasks here. Replies after
+   * publishing the snapshots of everything accepted before.
    */
   void claimTeam(ClaimTeam claim, Consumer<Object> reply) {
     boolean accepted = teams.accept(claim.team, claim.generation);
@@ -89,7 +89,9 @@
     }
   }
 
-  /** Takes in that an exit is recorded, so that the worker may forget the attempt. */
+  /**
+   * Records that the team's owner has recorded an exit, so that the worker may forget the attempt.
+   */
   void acknowledgeExit(AcknowledgeExit request) {
     Machine machine = machines.get(request.machine);
     if (machine == null || !teams.accept(request.team, request.generation)) {
@@ -101,7 +103,7 @@
     }
   }
 
-  /** Takes a machine out of service if it is idle or has to be replaced; it stays so. */
+  /** Decommissions a machine, permanently, if it is idle or must be replaced. */
   void decommission(DecommissionMachine request) {
     Machine machine = machines.get(request.machine);
     if (machine == null) {
@@ -116,7 +118,7 @@
     publisher.publish();
   }
 
-  /** Begins or ends a drain: a draining machine accepts no starts. */
+  /** Starts or ends a drain: a draining machine accepts no starts. */
   void drain(DrainMachine request) {
     Machine machine = machines.get(request.machine);
     if (machine != null && machine.setDraining(request.drain)) {
--- a/src/main/java/org/sandford/machine/QuarantineTracker.java
+++ b/src/main/java/org/sandford/machine/QuarantineTracker.java
@@ -24,12 +24,12 @@
     this.zone = zone;
   }
 
-  /** Whether the machine may be given no more tasks. */
+  /** Returns whether no more tasks may be started on the machine. */
   boolean isQuarantined() {
     return quarantined;
   }
 
-  /** Takes in that a task of the job exited on the machine. */
+  /** Records that a task of the job exited on the machine. */
   void recordExit(String job, ExitCause cause) {
     if (cause == ExitCause.DONE) {
       failedJobs.clear();
--- a/src/main/java/org/sandford/machine/Reservations.java
+++ b/src/main/java/org/sandford/machine/Reservations.java
@@ -11,16 +11,17 @@
 import org.sandford.placement.ResourceRequest;
 
 /**
- * Resources of one machine that are reserved for jobs: what was preempted for them, which the
- * victims could take again, or what they gather until they have enough. Each job has its own
- * reservation, so that one job's cannot release another's. Runs on the event loop.
+ * Holds the resources of one machine that are reserved for jobs: either resources preempted for a
+ * job, which the victims could otherwise take again, or resources that a job collects until it has
+ * enough. Each job has its own reservation, so that no job can release another's. Runs on the event
+ * loop.
  */
 final class Reservations {
   private record HeldReservation(Reservation reservation, long expiresAt) {}
 
   private final Map<String, HeldReservation> byJob = new LinkedHashMap<>();
 
-  /** Reserves what the request names, in place of what the same job had reserved here. */
+  /** Reserves the requested resources and replaces an earlier reservation of the same job. */
   void reserve(Preempt request, long now) {
     Reservation reservation =
         new Reservation(
@@ -34,12 +35,15 @@
     byJob.put(request.forJob, new HeldReservation(reservation, expiresAt));
   }
 
-  /** Removes reservations whose time has passed; true when there was any. */
+  /** Removes expired reservations. Returns whether there were any. */
   boolean removeExpired(long now) {
     return byJob.values().removeIf(held -> now > held.expiresAt);
   }
 
-  /** What is reserved from this start: for jobs that go before its own. */
+  /**
+   * Returns the resources that are reserved for jobs preceding the start's job, by rank and then by
+   * arrival.
+   */
   ReservedResources reservedByPrecedingJobs(StartTask start, long now) {
     double cpus = 0;
     double gpus = 0;
@@ -64,7 +68,7 @@
         reservation.forJob);
   }
 
-  /** Takes an accepted start's resources out of what its own job had reserved. */
+  /** Subtracts an accepted start's resources from its own job's reservation. */
   void consume(StartTask start) {
     HeldReservation held = byJob.get(start.job);
     if (held != null) {
@@ -75,7 +79,7 @@
     }
   }
 
-  /** The reservations for a snapshot, in the order in which their jobs first reserved. */
+  /** Returns the reservations for a snapshot, in the order in which their jobs first made one. */
   List<Reservation> list() {
     List<Reservation> list = new ArrayList<>(byJob.size());
     for (HeldReservation held : byJob.values()) {
--- a/src/main/java/org/sandford/machine/ShardAssignment.java
+++ b/src/main/java/org/sandford/machine/ShardAssignment.java
@@ -5,7 +5,7 @@
 import org.sandford.cluster.Cluster;
 import org.sandford.runtime.EventLoop;
 
-/** Keeps the registry of machines as the assignment map says. Runs on the event loop. */
+/** Updates the registry of machines from the assignment map. Runs on the event loop. */
 final class ShardAssignment {
   private final EventLoop loop;
   private final Cluster cluster;
@@ -32,7 +32,7 @@
     this.reconciler = reconciler;
   }
 
-  /** Takes in a new assignment map. */
+  /** Applies a new assignment map. */
   void mapChanged() {
     long now = loop.nanos();
     Map<String, MachineAssignment> map = cluster.machines().of();
@@ -58,7 +58,7 @@
       machines.remove(machine.name());
       publisher.markRemoved(machine.name());
     } else if (assignment.hasAddress() && !machine.assignment().hasAddress()) {
-      // Its address is stored now, so from here on the machine may be given tasks.
+      // The machine's address is now stored, so tasks may be started on it.
       Machine successor = machine.reassigned(assignment, now);
       machines.put(successor);
       publisher.markChanged(successor);
--- a/src/main/java/org/sandford/machine/SnapshotPublisher.java
+++ b/src/main/java/org/sandford/machine/SnapshotPublisher.java
@@ -13,8 +13,8 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * Publishes snapshots of this shard's machines to all controllers: those that changed, together and
- * soon, and all of them in turn. Runs on the event loop.
+ * Publishes snapshots of this shard's machines to all controllers: changed ones in short batches,
+ * and all of them in a slower refresh cycle. Runs on the event loop.
  */
 final class SnapshotPublisher {
   private final EventLoop loop;
@@ -24,7 +24,7 @@
   private final Set<String> changed = new LinkedHashSet<>();
   private final Set<String> removed = new LinkedHashSet<>();
 
-  /** The rest of the present refresh cycle. */
+  /** The machines left in the current refresh cycle. */
   private Iterator<String> refreshCursor = List.<String>of().iterator();
 
   private boolean publishScheduled;
@@ -36,15 +36,15 @@
     this.machines = machines;
   }
 
-  /** Begins to refresh snapshots; called once. */
+  /** Starts the periodic refresh; called once. */
   void start() {
     loop.every(MachineConstants.SNAPSHOT_REFRESH_MS, this::refresh);
   }
 
   /**
-   * Publishes some machines anew in turn. A receiver drops a snapshot that is newer than its
-   * assignment map, and without a refresh it would lack it for as long as the machine stays the
-   * same.
+   * Publishes the next machines of the refresh cycle again. A receiver drops a snapshot that is
+   * newer than its assignment map, and without a refresh it would lack that snapshot until the
+   * machine changes.
    */
   private void refresh() {
     int count =
@@ -67,19 +67,19 @@
     }
   }
 
-  /** Has the machine's snapshot published with the next update. */
+  /** Adds the machine's snapshot to the next update. */
   void markChanged(Machine machine) {
     changed.add(machine.name());
     schedule();
   }
 
-  /** Has the next update say that the machine is no longer of this shard. */
+  /** Adds the machine to the removed ones of the next update. */
   void markRemoved(String machine) {
     changed.remove(machine);
     removed.add(machine);
   }
 
-  /** Has the next update say that the machine is of this shard, and publish its snapshot. */
+  /** Adds the snapshot of a new machine to the next update, which no longer lists it as removed. */
   void markAdded(Machine machine) {
     removed.remove(machine.name());
     markChanged(machine);
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Publishes what changed. Called before answers that must not arrive ahead of a snapshot. */
+  /** Publishes all changes now. Called before replies that must not arrive ahead of a snapshot. */
   void publish() {
     publishScheduled = false;
     if (changed.isEmpty() && removed.isEmpty()) {
@@ -120,7 +120,7 @@
     links.publish(update);
   }
 
-  /** The snapshots of all machines, for a controller whose link comes up. */
+  /** Returns the snapshots of all machines, for a controller whose link has come up. */
   SnapshotUpdate completeUpdate() {
     long now = loop.nanos();
     List<MachineSnapshot> snapshots = new ArrayList<>();
--- a/src/main/java/org/sandford/machine/StartAdmission.java
+++ b/src/main/java/org/sandford/machine/StartAdmission.java
@@ -11,8 +11,9 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * Decides whether a start may be accepted on a machine of this shard. It checks against what is
- * known here, since the team's owner planned on a snapshot. Runs on the event loop.
+ * Decides whether a start may be accepted on a machine of this shard. Checks it against the
+ * machine's current state, since the team's owner planned with a snapshot that may be outdated.
+ * Runs on the event loop.
  */
 final class StartAdmission {
   private final EventLoop loop;
@@ -23,8 +24,8 @@
   private final Predicate<String> isTerminal;
 
   /**
-   * @param instanceTypes the instance type of this name, or null when it is not known yet
-   * @param isTerminal whether the end of the job of this id is known here
+   * @param instanceTypes returns the instance type of a name, or null if it is not known yet
+   * @param isTerminal returns whether the job of an id is known to have ended
    */
   StartAdmission(
       EventLoop loop,
@@ -41,7 +42,7 @@
     this.isTerminal = isTerminal;
   }
 
-  /** The first reason against the start; empty when it may be accepted. */
+  /** Returns the first reason to refuse the start, or empty if it may be accepted. */
   Optional<StartRefusal> check(StartTask request) {
     if (!cluster.sessionLeaseValid()) {
       return Optional.of(StartRefusal.NO_SESSION_LEASE);
--- a/src/main/java/org/sandford/machine/StartHandler.java
+++ b/src/main/java/org/sandford/machine/StartHandler.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Accepts or refuses starts that team owners request. Runs on the event loop. */
+/** Handles start requests of team owners. Runs on the event loop. */
 final class StartHandler {
   private static final Logger log = LoggerFactory.getLogger(StartHandler.class);
 
@@ -34,7 +34,10 @@
     this.audit = audit;
   }
 
-  /** Answers whether the start is accepted; an accepted one is sent to the worker soon. */
+  /**
+   * Replies whether the start is accepted, and schedules an accepted one for dispatch to the
+   * worker.
+   */
   void start(StartTask request, Consumer<Object> reply) {
     Optional<StartRefusal> refusal = admission.check(request);
     if (refusal.isEmpty()) {
--- a/src/main/java/org/sandford/machine/StartState.java
+++ b/src/main/java/org/sandford/machine/StartState.java
@@ -1,19 +1,25 @@
 package org.sandford.machine;
 
-/** How far the start of a task has got on its way to the worker. */
+/** The progress of a task's start on its way to the worker. */
 enum StartState {
-  /** Accepted from the team's owner, not sent yet. */
+  /** Accepted but not sent yet. */
   QUEUED,
-  /** Sent as a command; its reply is awaited. */
+  /** Sent as a command that is not answered yet. */
   COMMAND_SENT,
   /** Sent in the response to a heartbeat; a later heartbeat shows the outcome. */
   RESPONSE_SENT,
-  /** Sent as a command without a reply: it may be carried out until a raised token is seen. */
+  /**
+   * Sent as a command that was not answered. The worker may carry it out until it sees a raised
+   * token.
+   */
   UNCONFIRMED,
-  /** The worker has the task, or reported it last. */
+  /** The worker has the task, by its reply or its last report. */
   CONFIRMED;
 
-  /** Whether a start may go from this state to that one. A worker's report confirms any start. */
+  /**
+   * Returns whether a start may change from this state to another. A worker's report confirms a
+   * start in any state.
+   */
   boolean canTransitionTo(StartState next) {
     return switch (next) {
       case QUEUED -> false;
--- a/src/main/java/org/sandford/machine/StateChangeReason.java
+++ b/src/main/java/org/sandford/machine/StateChangeReason.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * Why a machine's state changes, as its log line tells it after {@code reason=}, with further pairs
- * where a number matters.
+ * The reason for a change of a machine's state, as logged after {@code reason=}. May be followed by
+ * further key-value pairs.
  */
 final class StateChangeReason {
   static final StateChangeReason HEARTBEAT_RECEIVED = new StateChangeReason("heartbeat_received");
@@ -21,12 +21,15 @@
     this.text = code;
   }
 
-  /** The worker has been silent for so many seconds. */
+  /** Returns the reason that no message of the worker arrived for this time. */
   static StateChangeReason silentFor(double seconds) {
     return new StateChangeReason(String.format(Locale.ROOT, "silent silent_s=%.1f", seconds));
   }
 
-  /** The worker refused commands with this HTTP status, or they could not be sent. */
+  /**
+   * Returns the reason that the worker refused commands with this HTTP status, or that they could
+   * not be sent.
+   */
   static StateChangeReason commandsNotAccepted(int status) {
     return new StateChangeReason("commands_not_accepted status=" + status);
   }
--- a/src/main/java/org/sandford/machine/TaskEntry.java
+++ b/src/main/java/org/sandford/machine/TaskEntry.java
@@ -8,8 +8,8 @@
 import org.sandford.peer.wire.TaskState;
 
 /**
- * One attempt at a task that a machine holds or may hold: how far its start, its stop and the
- * acknowledgement of its exit have got. Runs on the event loop.
+ * Tracks one attempt that a machine runs or may run: the progress of its start, its stop and the
+ * acknowledgement of its exit. Runs on the event loop.
  */
 final class TaskEntry {
   private final TaskAttempt id;
@@ -25,18 +25,18 @@
   private double ram;
   private String image = "";
 
-  /** When the attempt became known here; from when it is known to run, that time. */
+  /** When the attempt became known here, or when it was first reported as running. */
   private long startedAt;
 
-  /** The worker's serial number that was last known when the start was sent. */
+  /** The serial number of the worker's last message before the start was sent. */
   private long serialWhenSent;
 
-  /** Whether the start was sent as a command, which can be repeated under its token. */
+  /** Whether the start was sent as a command, which the network can repeat under its token. */
   private boolean sentAsCommand;
 
   private long commandToken;
 
-  /** Of an unconfirmed start: once the worker has seen this token, it will not be carried out. */
+  /** Token of an unconfirmed start: once the worker has seen it, it refuses the start. */
   private long invalidatingToken;
 
   private boolean stopRequested;
@@ -51,7 +51,7 @@
     this.startedAt = now;
   }
 
-  /** An attempt whose start was accepted here and is to be sent. */
+  /** Creates the entry of an attempt whose start was accepted here and is not sent yet. */
   static TaskEntry queued(TaskAttempt id, StartTask request, long now) {
     TaskEntry entry = new TaskEntry(id, StartState.QUEUED, now);
     entry.jobConfirmedOpen = true;
@@ -60,7 +60,7 @@
     return entry;
   }
 
-  /** An attempt that the worker reported first. */
+  /** Creates the entry of an attempt that is first known from the worker's report. */
   static TaskEntry reported(TaskAttempt id, long now) {
     return new TaskEntry(id, StartState.CONFIRMED, now);
   }
@@ -85,7 +85,7 @@
     return image;
   }
 
-  /** Whether the task takes resources of the machine, or may take them. */
+  /** Returns whether the task uses, or may use, resources of the machine. */
   boolean isOnMachine() {
     return state != TaskState.EXITED;
   }
@@ -112,7 +112,7 @@
     this.image = image;
   }
 
-  /** Fills in the task's job, which is known to be open. */
+  /** Sets the attributes of the task from its job, which is open. */
   void applySpec(JobSpec spec) {
     jobConfirmedOpen = true;
     setAttributes(
@@ -120,24 +120,27 @@
   }
 
   /**
-   * Fills in what the former owner reported. The job stays unknown all the same: only a read of the
-   * open jobs shows that it has not ended.
+   * Sets the attributes of the task from the former owner's snapshot. Does not confirm the job as
+   * open: only a read of the open jobs shows that it has not ended.
    */
   void applyFormerSnapshot(TaskSnapshot former) {
     setAttributes(former.team, former.rank, former.cpus, former.gpus, former.ram, former.image);
   }
 
-  /** Whether anything of the task's job is filled in. */
+  /** Returns whether the attributes of the task, such as its team and resources, are set. */
   boolean hasAttributes() {
     return !team.isEmpty();
   }
 
-  /** Whether the job was open when the open jobs were last read, or a team's owner started it. */
+  /**
+   * Returns whether the job was open at the last read of the open jobs, or the team's owner started
+   * this attempt through this controller.
+   */
   boolean isJobConfirmedOpen() {
     return jobConfirmedOpen;
   }
 
-  /** The job may have ended meanwhile: it has to be read again. */
+  /** Requires the job to be read again, since it may have ended. */
   void clearJobConfirmation() {
     jobConfirmedOpen = false;
   }
@@ -146,20 +149,20 @@
     return startState == StartState.QUEUED;
   }
 
-  /** Whether the start was sent as a command whose reply is awaited. */
+  /** Returns whether the start was sent as a command that is not answered yet. */
   boolean isCommandSent() {
     return startState == StartState.COMMAND_SENT;
   }
 
-  /** Whether the start waits to be sent; one that is to be stopped is not sent any more. */
+  /** Returns whether the start is to be sent. After a stop request it is not. */
   boolean isStartDue() {
     return startState == StartState.QUEUED && !stopRequested;
   }
 
   /**
-   * Takes in that the start is sent.
+   * Records that the start is sent.
    *
-   * @param token the fencing token that goes with it
+   * @param token the fencing token sent with it
    * @param lastSerial the serial number of the worker's last message
    */
   void markStartSent(WorkerChannel channel, long token, long lastSerial) {
@@ -169,12 +172,14 @@
     serialWhenSent = lastSerial;
   }
 
-  /** Takes in that the worker has the task. */
+  /** Records that the worker has the task. */
   void confirmStart() {
     transitionTo(StartState.CONFIRMED);
   }
 
-  /** Takes in that the command went unanswered; only this token makes it void. */
+  /**
+   * Records that the command was not answered; it is invalid once the worker has seen this token.
+   */
   void markStartUnconfirmed(long token) {
     transitionTo(StartState.UNCONFIRMED);
     invalidatingToken = token;
@@ -189,9 +194,9 @@
   }
 
   /**
-   * Whether a task that a worker's message lacks is surely not on the machine and will not be by
-   * the start that was sent. Its absence is no proof while a command may still be under way:
-   * commands can be delayed for minutes.
+   * Returns whether a task missing from a worker's message is not on the machine and cannot appear
+   * there through the start that was sent. Its absence proves nothing while a command may still
+   * arrive: commands can be delayed for minutes.
    */
   boolean isProvenAbsent(Heartbeat heartbeat, WorkerChannel channel, boolean newEpoch) {
     return switch (startState) {
@@ -204,14 +209,14 @@
     };
   }
 
-  /** Whether a report of the task would change its snapshot. */
+  /** Returns whether a report of the task changes its snapshot. */
   boolean isChangedBy(Heartbeat.ReportedTask report) {
-    // Nobody decides by whether a task that does not run yet waits for its image.
+    // No decision depends on whether a task that does not run yet is pulling its image.
     boolean pullsImage = state == TaskState.STARTING && report.state() == TaskState.PULLING_IMAGE;
     return (state != report.state() && !pullsImage) || cause != report.cause();
   }
 
-  /** Takes in the state that the worker reported. */
+  /** Applies the state that the worker reported. */
   void update(Heartbeat.ReportedTask report, long now) {
     if (state != report.state() && report.state() == TaskState.RUNNING) {
       startedAt = now;
@@ -221,8 +226,8 @@
   }
 
   /**
-   * Asks for a stop, at once (0) or after so many seconds to save; false when one that ends the
-   * task as soon was asked for before.
+   * Requests a stop, immediately (0) or after a grace period in seconds to checkpoint. Returns
+   * false if a stop with the same or a shorter grace period was requested before.
    */
   boolean requestStop(int graceS) {
     if (stopRequested && graceS >= stopGraceS) {
@@ -234,12 +239,15 @@
     return true;
   }
 
-  /** Whether the task is to be stopped at once. */
+  /** Returns whether a stop without a grace period was requested. */
   boolean isImmediateStopRequested() {
     return stopRequested && stopGraceS == 0;
   }
 
-  /** Whether the worker has to be told to stop the task; one that saves is left to it. */
+  /**
+   * Returns whether the worker must be told to stop the task. A task that is checkpointing is
+   * stopped only by a request without a grace period.
+   */
   boolean needsStop() {
     return stopRequested
         && isOnMachine()
@@ -247,7 +255,7 @@
         && (state != TaskState.CHECKPOINTING || stopGraceS == 0);
   }
 
-  /** Whether the stop was not sent yet, or so long ago that it is repeated. */
+  /** Returns whether the stop was not sent yet, or was sent long enough ago to be repeated. */
   boolean isStopDue(long now) {
     return !stopSent || now - stopSentAt > MachineConstants.COMMAND_TIMEOUT_MS * 1_000_000L;
   }
@@ -257,12 +265,14 @@
     stopSentAt = now;
   }
 
-  /** Seconds that the task has to save once it is told to stop. */
+  /** Returns the seconds that the task has to checkpoint once it is told to stop. */
   int stopGraceS() {
     return stopGraceS;
   }
 
-  /** Takes in that the exit is recorded, so that the worker may forget the attempt. */
+  /**
+   * Records that the team's owner has recorded the exit, so that the worker may forget the attempt.
+   */
   void acknowledgeExit() {
     exitAcknowledged = true;
   }
@@ -271,12 +281,12 @@
     return exitAcknowledged;
   }
 
-  /** Whether the worker may be told to forget the attempt. */
+  /** Returns whether the worker may be told to forget the attempt. */
   boolean isAcknowledgementDue() {
     return exitAcknowledged && state == TaskState.EXITED;
   }
 
-  /** Whether a repeat of the command that started it would be carried out under this token. */
+  /** Returns whether the worker would carry out a repeat of the start command under this token. */
   boolean isStartRepeatable(long token) {
     return sentAsCommand && commandToken >= token;
   }
--- a/src/main/java/org/sandford/machine/TaskStopper.java
+++ b/src/main/java/org/sandford/machine/TaskStopper.java
@@ -22,9 +22,9 @@
   }
 
   /**
-   * Stops an attempt if the machine holds it; a start that was not sent yet is dropped.
+   * Stops an attempt if it is on the machine. A start that was not sent yet is removed.
    *
-   * @param graceS seconds that the task has to save; 0 ends it at once
+   * @param graceS seconds that the task has to checkpoint; 0 ends it immediately
    */
   void stop(Machine machine, TaskId task, long attempt, int graceS) {
     TaskEntry entry = machine.find(task, attempt);
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Ends a task whose job has ended: stops it at once, or acknowledges its exit. */
+  /** Ends a task whose job has ended: stops it immediately, or acknowledges its exit. */
   void end(Machine machine, TaskEntry entry) {
     if (entry.isOnMachine()) {
       stop(machine, entry.id().task(), entry.id().attempt(), 0);
--- a/src/main/java/org/sandford/machine/TaskTable.java
+++ b/src/main/java/org/sandford/machine/TaskTable.java
@@ -15,15 +15,15 @@
 import org.sandford.peer.wire.TaskState;
 
 /**
- * The tasks that one machine holds or may hold, in the order in which they became known. Runs on
- * the event loop.
+ * Holds the tasks that one machine runs or may run, in the order in which they became known. Runs
+ * on the event loop.
  */
 final class TaskTable {
   private final KnownImages images;
   private final QuarantineTracker quarantine;
   private final Map<TaskAttempt, TaskEntry> entries = new LinkedHashMap<>();
 
-  /** What the former owner reported of the tasks; their jobs may have ended meanwhile. */
+  /** The tasks of the former owner's last snapshot; their jobs may have ended since. */
   private final Map<TaskAttempt, TaskSnapshot> formerSnapshots = new HashMap<>();
 
   TaskTable(KnownImages images, QuarantineTracker quarantine) {
@@ -31,17 +31,17 @@
     this.quarantine = quarantine;
   }
 
-  /** All entries, live: an iteration must not remove any. */
+  /** Returns a live view of all entries; the caller must not remove any while iterating. */
   Collection<TaskEntry> all() {
     return entries.values();
   }
 
-  /** The entry of the attempt, or null as of a map when there is none. */
+  /** Returns the entry of the attempt, or null if there is none. */
   TaskEntry get(TaskId task, long attempt) {
     return entries.get(new TaskAttempt(task, attempt));
   }
 
-  /** Whether any attempt at the task takes resources here, or may take them. */
+  /** Returns whether any attempt at the task uses, or may use, resources of the machine. */
   boolean isOnMachine(TaskId task) {
     return entries.values().stream().anyMatch(e -> e.id().task().equals(task) && e.isOnMachine());
   }
@@ -50,12 +50,12 @@
     return entries.values().stream().noneMatch(TaskEntry::isOnMachine);
   }
 
-  /** Whether the job of each task on the machine is known to be open. */
+  /** Returns whether the job of each task on the machine is confirmed as open. */
   boolean allJobsConfirmedOpen() {
     return entries.values().stream().allMatch(e -> e.isJobConfirmedOpen() || !e.isOnMachine());
   }
 
-  /** Adds a start that was accepted; it goes out with the next commands. */
+  /** Adds an accepted start, which is sent with the next commands. */
   void add(StartTask request, long now) {
     TaskAttempt id = new TaskAttempt(new TaskId(request.job, request.task), request.attempt);
     entries.put(id, TaskEntry.queued(id, request, now));
@@ -69,7 +69,7 @@
     entries.clear();
   }
 
-  /** Takes over what the former owner reported of a task. */
+  /** Keeps the former owner's snapshot of a task, if it has the task's attributes. */
   void addFormerSnapshot(TaskSnapshot task) {
     if (!task.team.isEmpty()) {
       formerSnapshots.put(new TaskAttempt(new TaskId(task.job, task.task), task.attempt), task);
@@ -77,9 +77,9 @@
   }
 
   /**
-   * Fills in what the former owner reported of a task whose job was not read here; true when it
-   * did. The team and the resources of a task never change, and the team's owner has to count it,
-   * also when its job has ended.
+   * Sets the attributes of a task whose job was not read here from the former owner's snapshot.
+   * Returns whether it did. The team and the resources of a task never change, and the team's owner
+   * must count the task even if its job has ended.
    */
   boolean applyFormerSnapshot(TaskEntry entry) {
     TaskSnapshot former = entry.hasAttributes() ? null : formerSnapshots.get(entry.id());
@@ -90,7 +90,7 @@
     return true;
   }
 
-  /** Takes in the tasks of a worker's message; false when no snapshot changes by it. */
+  /** Applies the tasks of a worker's message. Returns false if no task's snapshot changes. */
   boolean apply(Heartbeat heartbeat, WorkerChannel channel, boolean newEpoch, long now) {
     boolean changed = false;
     Set<TaskAttempt> reported = new HashSet<>();
@@ -103,7 +103,7 @@
       TaskEntry entry = it.next();
       if (!reported.contains(entry.id()) && entry.isProvenAbsent(heartbeat, channel, newEpoch)) {
         it.remove();
-        // An exited task took no resources, and its team's owner has acknowledged the exit.
+        // An exited task used no resources, and its team's owner has acknowledged the exit.
         changed |= entry.isOnMachine();
       }
     }
@@ -131,7 +131,7 @@
     return changed;
   }
 
-  /** The starts that were sent as commands whose reply is awaited. */
+  /** Returns the starts that were sent as commands and are not answered yet. */
   List<TaskEntry> startsAwaitingReply() {
     List<TaskEntry> starts = new ArrayList<>();
     for (TaskEntry entry : entries.values()) {
@@ -142,7 +142,7 @@
     return starts;
   }
 
-  /** Removes starts that were surely not carried out. */
+  /** Removes those of the starts that still await a reply; the worker did not carry them out. */
   void removeStartsAwaitingReply(List<TaskEntry> starts) {
     for (TaskEntry entry : starts) {
       if (entry.isCommandSent()) {
--- a/src/main/java/org/sandford/machine/TeamGenerations.java
+++ b/src/main/java/org/sandford/machine/TeamGenerations.java
@@ -5,13 +5,16 @@
 import org.sandford.cluster.AssignmentMap.TeamAssignment;
 
 /**
- * The latest generation of each team's ownership that is known here. Requests of an earlier owner
+ * Tracks the latest known generation of each team's ownership, by which requests of earlier owners
  * are refused. Runs on the event loop.
  */
 final class TeamGenerations {
   private final Map<String, Long> latest = new HashMap<>();
 
-  /** Whether a request of this generation may be carried out; if so, no earlier one may be. */
+  /**
+   * Returns whether a request of this generation may be carried out. If so, requests of earlier
+   * generations are refused from now on.
+   */
   boolean accept(String team, long generation) {
     if (generation < latest.getOrDefault(team, 0L)) {
       return false;
@@ -20,7 +23,7 @@
     return true;
   }
 
-  /** Takes in the generations of the assignment map. */
+  /** Raises the known generations to those of the assignment map. */
   void updateFrom(Map<String, TeamAssignment> teams) {
     teams.forEach((team, owner) -> latest.merge(team, owner.generation(), Math::max));
   }
--- a/src/main/java/org/sandford/machine/WorkerChannel.java
+++ b/src/main/java/org/sandford/machine/WorkerChannel.java
@@ -1,6 +1,6 @@
 package org.sandford.machine;
 
-/** The two ways on which a controller and a worker talk. */
+/** The two ways in which a controller and a worker exchange messages. */
 enum WorkerChannel {
   /** The worker's heartbeat, and the controller's response to it. */
   HEARTBEAT,
--- a/src/main/java/org/sandford/machine/WorkerClient.java
+++ b/src/main/java/org/sandford/machine/WorkerClient.java
@@ -7,13 +7,13 @@
 import org.sandford.runtime.HttpTransport.Reply;
 import org.sandford.runtime.Json;
 
-/** Calls workers, and takes in the heartbeats that their replies carry. Runs on the event loop. */
+/** Calls workers and applies the heartbeats in their replies. Runs on the event loop. */
 final class WorkerClient {
-  /** What the body of a reply turned out to be. */
+  /** The kinds of content in the body of a reply. */
   enum ReplyContent {
-    /** A heartbeat with news, which was taken in. */
+    /** A heartbeat that is newer than the last one and was applied. */
     NEW_HEARTBEAT,
-    /** A heartbeat that is older than what is known. */
+    /** A heartbeat that is not newer than the last one. */
     STALE_HEARTBEAT,
     NO_HEARTBEAT
   }
@@ -26,12 +26,12 @@
     this.processor = processor;
   }
 
-  /** Asks the worker for a heartbeat; calls back once. */
+  /** Requests a heartbeat from the worker; calls back once. */
   void requestHeartbeat(Machine machine, int timeoutMs, Consumer<Reply> callback) {
     http.send(machine.assignment().address(), "GET", "/show", null, timeoutMs, callback);
   }
 
-  /** Sends commands under the machine's present token; calls back once. */
+  /** Sends commands with the machine's current token; calls back once. */
   void sendCommands(Machine machine, ArrayNode commands, Consumer<Reply> callback) {
     http.send(
         machine.assignment().address(),
@@ -42,7 +42,7 @@
         callback);
   }
 
-  /** Takes in the heartbeat that a reply carries, whatever the reply's status. */
+  /** Applies the heartbeat in a reply, regardless of the reply's status. */
   ReplyContent applyReply(Machine machine, Reply reply) {
     if (!(HeartbeatReader.read(Json.read(reply.body())) instanceof Heartbeat heartbeat)) {
       return ReplyContent.NO_HEARTBEAT;
--- a/src/main/java/org/sandford/machine/WorkerCommands.java
+++ b/src/main/java/org/sandford/machine/WorkerCommands.java
@@ -5,9 +5,9 @@
 import org.sandford.runtime.Json;
 
 /**
- * Writes what goes to a worker in the words of the users' protocol: commands are its {@code
- * orders}, a task its {@code piece}, an attempt its {@code try}, the fencing token its {@code
- * fence} and the agent epoch its {@code tenure}.
+ * Builds messages to workers. The protocol's field names differ from the names in the code: {@code
+ * orders} are the commands, {@code piece} is the task, {@code try} the attempt, {@code fence} the
+ * fencing token and {@code tenure} the agent epoch.
  */
 final class WorkerCommands {
   private WorkerCommands() {}
@@ -16,12 +16,14 @@
     return command("start", id);
   }
 
-  /** Stops a task that has so many seconds to save. */
+  /**
+   * Builds the command that stops a task and gives it the grace period, in seconds, to checkpoint.
+   */
   static ObjectNode stop(TaskAttempt id, int graceS) {
     return command("stop", id).put("wind_down_s", graceS);
   }
 
-  /** Lets the worker forget an attempt that has exited. */
+  /** Builds the command that lets the worker forget an attempt that has exited. */
   static ObjectNode acknowledgeExit(TaskAttempt id) {
     return command("clear", id);
   }
@@ -33,14 +35,17 @@
         .put("try", id.attempt());
   }
 
-  /** The body of a call with these commands; without any it shows the worker the token. */
+  /**
+   * Returns the body of a call with these commands. A call without commands only shows the worker
+   * the token.
+   */
   static byte[] requestBody(long token, long agentEpoch, ArrayNode commands) {
     ObjectNode body = Json.object().put("fence", token).put("tenure", agentEpoch);
     body.set("orders", commands);
     return Json.bytes(body);
   }
 
-  /** The body of the response to a heartbeat. */
+  /** Returns the body of the response to a heartbeat. */
   static ObjectNode heartbeatResponseBody(long token, ArrayNode commands) {
     ObjectNode body = Json.object().put("fence", token);
     body.set("orders", commands);
--- a/src/main/java/org/sandford/machine/WorkerLease.java
+++ b/src/main/java/org/sandford/machine/WorkerLease.java
@@ -4,23 +4,23 @@
 import org.sandford.constants.TimeConstants;
 
 /**
- * The lease under which a worker runs its tasks, as far as it is known here. A worker kills its
- * tasks when no heartbeat of it was answered for {@code lease_s}; only then may they run elsewhere.
- * Runs on the event loop.
+ * Tracks the lease under which a worker runs its tasks. A worker kills its tasks when none of its
+ * heartbeats was answered for {@code lease_s}; only then may they run elsewhere. Runs on the event
+ * loop.
  */
 final class WorkerLease {
   private final long assignedAt;
   private long lastHeartbeatAt;
 
-  /** When a heartbeat was last answered here, which renews the lease. */
+  /** When this controller last answered a heartbeat, which renews the lease. */
   private final LastTime lastRenewal = new LastTime();
 
-  /** When the worker was first known to have seen a token of this generation. */
+  /** When a message first showed that the worker has seen a token of this generation. */
   private final LastTime generationFirstSeen = new LastTime();
 
   private boolean expired;
 
-  /** The last agent epoch whose lease has surely expired. */
+  /** The last agent epoch whose lease was recorded as expired. */
   private long expiredEpoch;
 
   WorkerLease(long now) {
@@ -28,7 +28,7 @@
     lastHeartbeatAt = now;
   }
 
-  /** Takes in a message of the worker. */
+  /** Records a message of the worker, which ends an expiry. */
   void recordHeartbeat(boolean isGenerationSeen, long now) {
     if (isGenerationSeen && !generationFirstSeen.hasHappened()) {
       generationFirstSeen.mark(now);
@@ -37,29 +37,32 @@
     expired = false;
   }
 
-  /** Takes in that a heartbeat is answered now. */
+  /** Records that a heartbeat is answered now. */
   void renew(long now) {
     lastRenewal.mark(now);
   }
 
-  /** Takes over when the lease was renewed under an earlier entry of the same machine. */
+  /** Copies the time of the last renewal from an earlier assignment of the same machine. */
   void copyRenewalFrom(WorkerLease former) {
     lastRenewal.copyFrom(former.lastRenewal);
   }
 
-  /** Steady-clock time of the worker's last message; before any, of the machine's assignment. */
+  /**
+   * Returns the steady-clock time of the worker's last message, or of the machine's assignment if
+   * there was none.
+   */
   long lastHeartbeatAt() {
     return lastHeartbeatAt;
   }
 
-  /** Seconds since the worker's last message. */
+  /** Returns the seconds since the worker's last message. */
   double silentS(long now) {
     return (now - lastHeartbeatAt) / 1e9;
   }
 
   /**
-   * Whether the worker must have killed its tasks by now. A worker that has not seen this owner's
-   * token may have been answered by the former owner for as long as that one could renew leases.
+   * Returns whether the worker must have killed its tasks by now. If it has not seen this owner's
+   * token, the former owner may have answered it for as long as that owner could renew leases.
    *
    * @param isGenerationSeen whether the worker has seen this owner's token
    * @param leaseS the deployment's {@code lease_s}
@@ -81,12 +84,14 @@
     expiredEpoch = agentEpoch;
   }
 
-  /** Whether the lease has expired and the worker has not been heard from since. */
+  /** Returns whether the lease has expired and no message of the worker has arrived since. */
   boolean isExpired() {
     return expired;
   }
 
-  /** Whether the lease of this agent epoch has expired: its messages were delayed. */
+  /**
+   * Returns whether the lease of this agent epoch has expired, so that its messages were delayed.
+   */
   boolean isExpiredEpoch(long agentEpoch) {
     return agentEpoch <= expiredEpoch;
   }
--- a/src/main/java/org/sandford/machine/WorkerMessage.java
+++ b/src/main/java/org/sandford/machine/WorkerMessage.java
@@ -1,8 +1,11 @@
 package org.sandford.machine;
 
-/** What a document of a worker turned out to be, so that every reader has to tell the two apart. */
+/**
+ * The result of parsing a worker's document. It is sealed so that every caller must handle a
+ * malformed one.
+ */
 sealed interface WorkerMessage permits Heartbeat, WorkerMessage.Malformed {
-  /** The document is no heartbeat, or names a task by something that is no task's id. */
+  /** The document is not a heartbeat, or contains an invalid task id. */
   enum Malformed implements WorkerMessage {
     MALFORMED
   }
--- a/src/test/java/org/sandford/machine/HeartbeatBuilder.java
+++ b/src/test/java/org/sandford/machine/HeartbeatBuilder.java
@@ -6,16 +6,16 @@
 import org.sandford.peer.wire.ExitCause;
 import org.sandford.peer.wire.TaskState;
 
-/** Builds messages of the worker of machine n-1; each has a higher serial number than the last. */
+/** Builds messages of the worker of machine n-1, with increasing serial numbers. */
 final class HeartbeatBuilder {
   private long serial;
 
-  /** A message without tasks. */
+  /** Builds a message without tasks. */
   Heartbeat withoutTasks(long agentEpoch, long token) {
     return build(agentEpoch, token, List.of());
   }
 
-  /** A message of agent epoch 1 with one task. */
+  /** Builds a message of agent epoch 1 with one task. */
   Heartbeat withTask(long token, TaskId task, long attempt, TaskState state, ExitCause cause) {
     return build(1, token, List.of(new Heartbeat.ReportedTask(task, attempt, state, cause)));
   }
--- a/src/test/java/org/sandford/machine/MachineTest.java
+++ b/src/test/java/org/sandford/machine/MachineTest.java
@@ -14,7 +14,7 @@
 import org.sandford.peer.wire.StartTask;
 import org.sandford.peer.wire.TaskState;
 
-/** What may be concluded from a worker's messages while commands are under way. */
+/** Tests what a worker's messages prove about its tasks while commands are in flight. */
 class MachineTest {
   private static final TaskId TASK = new TaskId("wk-1", 0);
   private static final long ATTEMPT = 7;
--- a/src/test/java/org/sandford/machine/WorkerLeaseTest.java
+++ b/src/test/java/org/sandford/machine/WorkerLeaseTest.java
@@ -5,7 +5,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a silent worker must have killed its tasks: lease_s is 16 s and cancel_s 46 s here. */
+/**
+ * Tests when a silent worker must have killed its tasks, with lease_s = 16 s and cancel_s = 46 s.
+ */
 class WorkerLeaseTest {
   private final WorkerLease lease = new WorkerLease(0);
 
