--- a/src/main/java/org/sandford/cancel/Cancellations.java
+++ b/src/main/java/org/sandford/cancel/Cancellations.java
@@ -69,28 +69,30 @@
     /**
      * What the peer's former incarnations confirmed is known once the store was read after this.
      */
-    private MonotonicTime incarnationKnownAt = MonotonicTime.NEVER;
+    private MonotonicTime incarnationFirstSeenAt = MonotonicTime.NEVER;
 
     /** What this incarnation confirmed before this moment is known here. */
-    private MonotonicTime coveredAt = MonotonicTime.NEVER;
+    private MonotonicTime coveredUntil = MonotonicTime.NEVER;
 
     /** What all former incarnations confirmed before this moment is known here. */
-    private MonotonicTime formerIncarnationsCoveredAt = MonotonicTime.NEVER;
+    private MonotonicTime formerIncarnationsCoveredUntil = MonotonicTime.NEVER;
 
-    MonotonicTime coveredAt(MonotonicTime storeFreshAt) {
-      return storeFreshAt.isBefore(incarnationKnownAt) ? formerIncarnationsCoveredAt : coveredAt;
+    MonotonicTime coveredUntil(MonotonicTime storeFreshAt) {
+      return storeFreshAt.isBefore(incarnationFirstSeenAt)
+          ? formerIncarnationsCoveredUntil
+          : coveredUntil;
     }
 
     /** Another incarnation, or a log that lost its beginning: the store tells what went before. */
-    boolean isInterruptedBy(CancellationsResponse response) {
+    boolean hasGapBefore(CancellationsResponse response) {
       return !response.incarnation.equals(incarnationId) || response.since > receivedUpTo;
     }
 
     void restart(CancellationsResponse response, MonotonicTime now, MonotonicTime storeFreshAt) {
-      formerIncarnationsCoveredAt = coveredAt(storeFreshAt);
+      formerIncarnationsCoveredUntil = coveredUntil(storeFreshAt);
       incarnationId = response.incarnation;
-      incarnationKnownAt = now;
-      coveredAt = MonotonicTime.NEVER;
+      incarnationFirstSeenAt = now;
+      coveredUntil = MonotonicTime.NEVER;
       receivedUpTo = response.upTo;
     }
   }
@@ -129,9 +131,9 @@
   }
 
   /** Begins to request the peers' logs once a heartbeat; called once. */
-  public void start(Listener to) {
-    listener = to;
-    loop.every(PeerConstants.PEER_HEARTBEAT_MS, this::requestAllLogs);
+  public void start(Listener cancellationListener) {
+    listener = cancellationListener;
+    loop.every(PeerConstants.PEER_HEARTBEAT_MS, this::requestPeerLogs);
   }
 
   /**
@@ -166,7 +168,7 @@
       return false;
     }
     for (PeerLog peerLog : peerLogs.values()) {
-      if (!peerLog.coveredAt(storeFreshAt).isYoungerThan(graceNanos, now)) {
+      if (!peerLog.coveredUntil(storeFreshAt).isYoungerThan(graceNanos, now)) {
         return false;
       }
     }
@@ -192,7 +194,7 @@
     peers.requestAll(new JobCancelled(job));
   }
 
-  private void requestAllLogs() {
+  private void requestPeerLogs() {
     peerLogs.forEach(
         (label, peerLog) ->
             peers.request(
@@ -210,29 +212,34 @@
     if (ownIncarnation.isEmpty()) {
       return null;
     }
-    long first = confirmedCount - confirmedJobs.size();
-    long since = ownIncarnation.equals(request.incarnation) ? Math.max(request.seen, first) : first;
+    long discardedCount = confirmedCount - confirmedJobs.size();
+    long since =
+        ownIncarnation.equals(request.incarnation)
+            ? Math.max(request.seen, discardedCount)
+            : discardedCount;
     // Nearly always nothing is lacking, and each controller asks with every heartbeat.
     List<String> jobs =
-        since == confirmedCount ? List.of() : confirmedJobs.stream().skip(since - first).toList();
+        since == confirmedCount
+            ? List.of()
+            : confirmedJobs.stream().skip(since - discardedCount).toList();
     return new CancellationsResponse(
         request.sentAt, ownIncarnation, since, confirmedCount, jobs, store.machinesRevision());
   }
 
   /** Takes another controller's response; the cancellations in it are passed to the listener. */
-  public void handleResponse(String from, CancellationsResponse answer) {
-    PeerLog peerLog = peerLogs.get(from);
+  public void handleResponse(String peerLabel, CancellationsResponse response) {
+    PeerLog peerLog = peerLogs.get(peerLabel);
     if (peerLog == null) {
       return;
     }
-    answer.jobs.forEach(listener::cancelled);
-    if (peerLog.isInterruptedBy(answer)) {
-      peerLog.restart(answer, MonotonicTime.ofNanos(loop.nanos()), store.freshAt());
+    response.jobs.forEach(listener::cancelled);
+    if (peerLog.hasGapBefore(response)) {
+      peerLog.restart(response, MonotonicTime.ofNanos(loop.nanos()), store.freshAt());
     }
-    peerLog.receivedUpTo = Math.max(peerLog.receivedUpTo, answer.upTo);
-    if (store.machinesRevision() >= answer.machinesRevision) {
-      peerLog.coveredAt =
-          MonotonicTime.later(peerLog.coveredAt, MonotonicTime.ofNanos(answer.sentAt));
+    peerLog.receivedUpTo = Math.max(peerLog.receivedUpTo, response.upTo);
+    if (store.machinesRevision() >= response.machinesRevision) {
+      peerLog.coveredUntil =
+          MonotonicTime.later(peerLog.coveredUntil, MonotonicTime.ofNanos(response.sentAt));
     }
   }
 
--- a/src/main/java/org/sandford/cluster/AssignmentMap.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMap.java
@@ -44,12 +44,12 @@
       return !address.isEmpty();
     }
 
-    MachineAssignment ownedBy(String next, long nextGeneration) {
-      return new MachineAssignment(next, nextGeneration, address, kind, zone, spot);
+    MachineAssignment withOwner(String newOwner, long newGeneration) {
+      return new MachineAssignment(newOwner, newGeneration, address, kind, zone, spot);
     }
 
-    MachineAssignment at(String where) {
-      return new MachineAssignment(owner, generation, where, kind, zone, spot);
+    MachineAssignment withAddress(String newAddress) {
+      return new MachineAssignment(owner, generation, newAddress, kind, zone, spot);
     }
   }
 
@@ -88,19 +88,22 @@
     static final Machines NONE = new Machines(0, 0, Map.of(), Map.of());
 
     /** These machines with the head and the partitions replaced by those that are newer. */
-    Machines with(long headRevision, long headLastGeneration, Map<Integer, Partition> newer) {
-      Map<Integer, Partition> next = new TreeMap<>(partitions);
+    Machines withNewer(long headRevision, long headLastGeneration, Map<Integer, Partition> newer) {
+      Map<Integer, Partition> mergedPartitions = new TreeMap<>(partitions);
       newer.forEach(
           (number, partition) ->
-              next.merge(number, partition, (old, now) -> now.revision > old.revision ? now : old));
-      Map<String, MachineAssignment> all = new LinkedHashMap<>();
-      next.values().forEach(partition -> all.putAll(partition.machines));
+              mergedPartitions.merge(
+                  number,
+                  partition,
+                  (known, candidate) -> candidate.revision > known.revision ? candidate : known));
+      Map<String, MachineAssignment> mergedMachines = new LinkedHashMap<>();
+      mergedPartitions.values().forEach(partition -> mergedMachines.putAll(partition.machines));
       boolean headNewer = headRevision > revision;
       return new Machines(
           headNewer ? headRevision : revision,
           headNewer ? headLastGeneration : lastGeneration,
-          Collections.unmodifiableMap(next),
-          Collections.unmodifiableMap(all));
+          Collections.unmodifiableMap(mergedPartitions),
+          Collections.unmodifiableMap(mergedMachines));
     }
   }
 }
--- a/src/main/java/org/sandford/cluster/AssignmentMapCache.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapCache.java
@@ -43,7 +43,7 @@
       newer |= known == null || e.getValue().revision() > known.revision();
     }
     if (newer) {
-      machines = machines.with(headRevision, lastGeneration, partitions);
+      machines = machines.withNewer(headRevision, lastGeneration, partitions);
     }
     return newer;
   }
--- a/src/main/java/org/sandford/cluster/AssignmentMapCodec.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapCodec.java
@@ -119,8 +119,8 @@
     int indexOf(String text) {
       return indexes.computeIfAbsent(
           text,
-          added -> {
-            texts.add(added);
+          newText -> {
+            texts.add(newText);
             return texts.size() - 1;
           });
     }
--- a/src/main/java/org/sandford/cluster/AssignmentMapExchange.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapExchange.java
@@ -21,11 +21,11 @@
   private final AssignmentMapCache map;
 
   /** The revisions at the latest heartbeat, and at the one before. */
-  private long advertisedTeams;
+  private long advertisedTeamsRevision;
 
-  private long advertisedMachines;
-  private long settledTeams;
-  private long settledMachines;
+  private long advertisedMachinesRevision;
+  private long previousTeamsRevision;
+  private long previousMachinesRevision;
 
   AssignmentMapExchange(AssignmentMapCache map) {
     this.map = map;
@@ -33,20 +33,20 @@
 
   /** The revisions to advertise to the peers. Called once a heartbeat. */
   AssignmentRevisions advertise() {
-    settledTeams = advertisedTeams;
-    settledMachines = advertisedMachines;
-    advertisedTeams = map.teams().revision();
-    advertisedMachines = map.machines().revision();
-    return new AssignmentRevisions(advertisedTeams, advertisedMachines);
+    previousTeamsRevision = advertisedTeamsRevision;
+    previousMachinesRevision = advertisedMachinesRevision;
+    advertisedTeamsRevision = map.teams().revision();
+    advertisedMachinesRevision = map.machines().revision();
+    return new AssignmentRevisions(advertisedTeamsRevision, advertisedMachinesRevision);
   }
 
   /**
    * What a peer lacks of the map, if anything. Only what was known here a heartbeat ago counts: the
    * peer's own watch is as quick, unless it is cut off from the store.
    */
-  Optional<AssignmentUpdate> missingFrom(AssignmentRevisions peer) {
-    boolean lacksTeams = peer.teamsRevision < settledTeams;
-    boolean lacksMachines = peer.machinesRevision < settledMachines;
+  Optional<AssignmentUpdate> missingFrom(AssignmentRevisions peerRevisions) {
+    boolean lacksTeams = peerRevisions.teamsRevision < previousTeamsRevision;
+    boolean lacksMachines = peerRevisions.machinesRevision < previousMachinesRevision;
     if (!lacksTeams && !lacksMachines) {
       return Optional.empty();
     }
@@ -57,7 +57,7 @@
         .partitions()
         .forEach(
             (number, partition) -> {
-              if (partition.revision() > peer.machinesRevision) {
+              if (partition.revision() > peerRevisions.machinesRevision) {
                 String text = Json.text(AssignmentMapCodec.toJson(partition));
                 newer.add(new PartitionUpdate(number, partition.revision(), text));
               }
@@ -80,9 +80,11 @@
     }
     Map<Integer, Partition> partitions = new TreeMap<>();
     update.partitions.forEach(
-        p ->
+        partition ->
             partitions.put(
-                p.number, AssignmentMapCodec.readPartition(Json.read(p.machines), p.revision)));
+                partition.number,
+                AssignmentMapCodec.readPartition(
+                    Json.read(partition.machines), partition.revision)));
     changed |= map.mergeMachines(update.machinesRevision, update.lastGeneration, partitions);
     return changed;
   }
--- a/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
@@ -41,7 +41,7 @@
   private final Listener listener;
 
   private boolean writing;
-  private long nextOrdinaryWriteAtMs;
+  private long nextNonUrgentWriteAtMs;
 
   AssignmentMapWriter(
       EventLoop loop,
@@ -67,8 +67,8 @@
    * Whether changes that nobody waits for may be written now: records go first, as long as the wait
    * does not exceed {@link ClusterConstants#MAP_WRITE_MAX_DELAY_MS}.
    */
-  boolean mayWriteOrdinaryChanges() {
-    long overdueMs = loop.millis() - nextOrdinaryWriteAtMs;
+  boolean mayWriteNonUrgentChanges() {
+    long overdueMs = loop.millis() - nextNonUrgentWriteAtMs;
     return overdueMs >= 0
         && (store.hasSpareWriteRate() || overdueMs >= ClusterConstants.MAP_WRITE_MAX_DELAY_MS);
   }
@@ -84,7 +84,7 @@
       return;
     }
     writing = true;
-    paceOrdinaryWrites(ops.size());
+    delayNextNonUrgentWrite(ops.size());
     store.transact(
         conditions,
         ops,
@@ -127,9 +127,9 @@
             });
   }
 
-  private void paceOrdinaryWrites(int ops) {
+  private void delayNextNonUrgentWrite(int ops) {
     double pauseMs = ops * 1000 / (facts.stateWriteRps() * ClusterConstants.MAP_WRITE_RATE_SHARE);
-    nextOrdinaryWriteAtMs =
+    nextNonUrgentWriteAtMs =
         loop.millis() + Math.max(ClusterConstants.MAP_WRITE_INTERVAL_MS, (long) pauseMs);
   }
 
@@ -152,11 +152,10 @@
   /** The outcome is unknown or another controller wrote: the next write needs what is stored. */
   private void readBack() {
     writing = true;
-    loop.after(
-        StoreConstants.STORE_RETRY_MS, () -> store.list(ClusterKeys.ROOT, this::readBackListed));
+    loop.after(StoreConstants.STORE_RETRY_MS, () -> store.list(ClusterKeys.ROOT, this::onReadBack));
   }
 
-  private void readBackListed(ListResult result) {
+  private void onReadBack(ListResult result) {
     if (!(result instanceof ListResult.Listed listed)) {
       writing = false;
       return;
--- a/src/main/java/org/sandford/cluster/AssignmentReconciler.java
+++ b/src/main/java/org/sandford/cluster/AssignmentReconciler.java
@@ -24,7 +24,7 @@
   private final AssignmentMapWriter writer;
   private final ShardBalancer balancer;
 
-  private boolean scheduled;
+  private boolean reconcileScheduled;
 
   AssignmentReconciler(
       EventLoop loop,
@@ -46,13 +46,13 @@
 
   /** Reconciles after what is queued on the event loop, once for all requests until then. */
   void reconcileSoon() {
-    if (scheduled) {
+    if (reconcileScheduled) {
       return;
     }
-    scheduled = true;
+    reconcileScheduled = true;
     loop.execute(
         () -> {
-          scheduled = false;
+          reconcileScheduled = false;
           reconcile();
         });
   }
@@ -63,21 +63,21 @@
     if (!election.isLeader() || writer.isWriting() || !members.contains(election.leaderId())) {
       return;
     }
-    if (waitsForControllers()) {
+    if (shouldWaitForControllers()) {
       return;
     }
     pending.moveMachines(balancer.planMoves(members.ids(), map.machines()));
     Teams nextTeams = teamPlanner().plan(facts.teams().keySet());
     Set<String> memberIds = members.sortedIds();
-    boolean ownerless = anyOwnerless(map.machines(), memberIds);
-    boolean urgent = !nextTeams.equals(map.teams()) || pending.hasUrgentRemovals() || ownerless;
-    boolean ordinary = writer.mayWriteOrdinaryChanges();
-    if (!urgent && !ordinary) {
+    boolean hasOwnerless = hasOwnerlessMachines(map.machines(), memberIds);
+    boolean urgent = !nextTeams.equals(map.teams()) || pending.hasUrgentRemovals() || hasOwnerless;
+    boolean nonUrgentAllowed = writer.mayWriteNonUrgentChanges();
+    if (!urgent && !nonUrgentAllowed) {
       return;
     }
     MachineAssignmentPlanner.Plan machines =
-        ownerless || pending.hasMachineChanges()
-            ? planMachines(memberIds, ordinary)
+        hasOwnerless || pending.hasMachineChanges()
+            ? planMachines(memberIds, nonUrgentAllowed)
             : new MachineAssignmentPlanner.Plan(map.machines().lastGeneration(), Map.of());
     writer.write(election.leaderRevision(), nextTeams, machines);
   }
@@ -86,29 +86,32 @@
    * Whether the leader gives the other controllers time to join. It does so only where a cluster
    * starts: in a failover every moment counts, and who joins later gets its shard by moves.
    */
-  private boolean waitsForControllers() {
+  private boolean shouldWaitForControllers() {
     boolean firstAssignment = map.teams().revision() == 0;
-    boolean starting = firstAssignment || members.size() == 1;
-    boolean complete = members.size() >= facts.controllers();
+    boolean clusterStarting = firstAssignment || members.size() == 1;
+    boolean allJoined = members.size() >= facts.controllers();
     int delayMs =
         firstAssignment
             ? ClusterConstants.LEADER_ASSIGNMENT_DELAY_MS
             : ClusterConstants.LEADER_ALONE_DELAY_MS;
-    return starting && !complete && election.leaderKnownForNanos() < delayMs * 1_000_000L;
+    return clusterStarting
+        && !allJoined
+        && election.nanosSinceLeaderChange() < delayMs * 1_000_000L;
   }
 
-  private static boolean anyOwnerless(Machines machines, Set<String> memberIds) {
+  private static boolean hasOwnerlessMachines(Machines machines, Set<String> memberIds) {
     return machines.of().values().stream()
         .anyMatch(machine -> !memberIds.contains(machine.owner()));
   }
 
   /**
-   * Without {@code ordinary} only what tasks wait for is planned: machines without an owner, and
-   * removals of machines that held tasks.
+   * Without {@code includeNonUrgent} only what tasks wait for is planned: machines without an
+   * owner, and removals of machines that held tasks.
    */
-  private MachineAssignmentPlanner.Plan planMachines(Set<String> memberIds, boolean ordinary) {
+  private MachineAssignmentPlanner.Plan planMachines(
+      Set<String> memberIds, boolean includeNonUrgent) {
     MachineAssignmentPlanner.Changes changes =
-        ordinary ? pending.machineChanges() : pending.urgentMachineChanges();
+        includeNonUrgent ? pending.machineChanges() : pending.urgentMachineChanges();
     return new MachineAssignmentPlanner(facts, map.machines(), memberIds).plan(changes);
   }
 
--- a/src/main/java/org/sandford/cluster/Cluster.java
+++ b/src/main/java/org/sandford/cluster/Cluster.java
@@ -64,7 +64,7 @@
   private final ClusterMembers members = new ClusterMembers();
   private final AssignmentMapCache map = new AssignmentMapCache();
   private final AssignmentMapExchange exchange = new AssignmentMapExchange(map);
-  private final NewJobs newJobs = new NewJobs(this::newJob);
+  private final NewJobs newJobs = new NewJobs(this::notifyNewJob);
   private final SessionMembership membership;
   private final PrefixWatch mapWatch;
   private final TerminalStateWatch terminalStateWatch;
@@ -80,7 +80,8 @@
     mapWatch =
         new PrefixWatch(loop, store, ClusterKeys.ROOT, ClusterKeys.ROOT, new MapWatchHandler());
     terminalStateWatch = new TerminalStateWatch(loop, store, audit, new TerminalStateHandler());
-    election = new LeaderElection(loop, store, audit, membership, mapWatch::loaded, this::elected);
+    election =
+        new LeaderElection(loop, store, audit, membership, mapWatch::loaded, this::onElected);
     pending = new PendingChanges(map, members, this::reconcileSoon);
     AssignmentMapWriter writer =
         new AssignmentMapWriter(
@@ -90,8 +91,8 @@
   }
 
   /** Joins the cluster and begins to watch the store; called once. */
-  public void start(Listener to) {
-    listener = to;
+  public void start(Listener clusterListener) {
+    listener = clusterListener;
     membership.join();
     mapWatch.start();
     terminalStateWatch.start();
@@ -188,8 +189,8 @@
   /**
    * What a peer with these revisions lacks of the assignment map, or null when it lacks nothing.
    */
-  public AssignmentUpdate missingFrom(AssignmentRevisions peer) {
-    return exchange.missingFrom(peer).orElse(null);
+  public AssignmentUpdate missingFrom(AssignmentRevisions peerRevisions) {
+    return exchange.missingFrom(peerRevisions).orElse(null);
   }
 
   /**
@@ -226,31 +227,31 @@
   }
 
   /** Moves a machine to the shard of another member. */
-  public void moveMachine(String name, String toId) {
-    pending.moveMachine(name, toId);
+  public void moveMachine(String name, String newOwner) {
+    pending.moveMachine(name, newOwner);
   }
 
   /** The team's owner of this generation no longer acts for it. */
   public void teamHandedOver(String team, long generation) {
-    pending.handOverTeam(team, generation);
+    pending.markHandedOver(team, generation);
   }
 
   /** Teams whose owner is to hand them over, with that owner; empty unless this one leads. */
   public Map<String, TeamAssignment> teamsToHandOver() {
-    Map<String, TeamAssignment> out = new TreeMap<>();
-    reconciler.teamToHandOver().ifPresent(team -> out.put(team, map.teams().of().get(team)));
-    return out;
+    Map<String, TeamAssignment> handovers = new TreeMap<>();
+    reconciler.teamToHandOver().ifPresent(team -> handovers.put(team, map.teams().of().get(team)));
+    return handovers;
   }
 
   private void reconcileSoon() {
     reconciler.reconcileSoon();
   }
 
-  private void newJob(String jobId, String team) {
+  private void notifyNewJob(String jobId, String team) {
     listener.jobAdded(jobId, team);
   }
 
-  private void elected() {
+  private void onElected() {
     listener.mapChanged();
     reconciler.reconcile();
   }
--- a/src/main/java/org/sandford/cluster/IncarnationIds.java
+++ b/src/main/java/org/sandford/cluster/IncarnationIds.java
@@ -29,15 +29,15 @@
   }
 
   static String labelOf(String incarnationId) {
-    int at = incarnationId.lastIndexOf(SEPARATOR);
-    return at < 0 ? incarnationId : incarnationId.substring(0, at);
+    int separatorIndex = incarnationId.lastIndexOf(SEPARATOR);
+    return separatorIndex < 0 ? incarnationId : incarnationId.substring(0, separatorIndex);
   }
 
   /** Whether the id is of an incarnation of the controller with this label; makes no text. */
   static boolean isIncarnationOf(String incarnationId, String label) {
-    int at = label.length();
-    return incarnationId.length() > at
-        && incarnationId.charAt(at) == SEPARATOR
+    int labelLength = label.length();
+    return incarnationId.length() > labelLength
+        && incarnationId.charAt(labelLength) == SEPARATOR
         && incarnationId.startsWith(label);
   }
 
--- a/src/main/java/org/sandford/cluster/LeaderElection.java
+++ b/src/main/java/org/sandford/cluster/LeaderElection.java
@@ -30,17 +30,17 @@
   private final StoreClient store;
   private final AuditLog audit;
   private final SessionMembership membership;
-  private final BooleanSupplier leaderKeyKnown;
+  private final BooleanSupplier leaderKeyRead;
   private final Runnable onElected;
 
   private Optional<Leader> leader = Optional.empty();
-  private long leaderSince;
+  private long leaderChangedAt;
   private boolean campaigning;
 
   /**
    * Makes an election that waits.
    *
-   * @param leaderKeyKnown whether the store was read, so that no leader means that there is none
+   * @param leaderKeyRead whether the store was read, so that no leader means that there is none
    * @param onElected runs when this controller has become the leader
    */
   LeaderElection(
@@ -48,13 +48,13 @@
       StoreClient store,
       AuditLog audit,
       SessionMembership membership,
-      BooleanSupplier leaderKeyKnown,
+      BooleanSupplier leaderKeyRead,
       Runnable onElected) {
     this.loop = loop;
     this.store = store;
     this.audit = audit;
     this.membership = membership;
-    this.leaderKeyKnown = leaderKeyKnown;
+    this.leaderKeyRead = leaderKeyRead;
     this.onElected = onElected;
   }
 
@@ -81,8 +81,8 @@
   }
 
   /** Nanoseconds since the leader's key was last told of. */
-  long leaderKnownForNanos() {
-    return loop.nanos() - leaderSince;
+  long nanosSinceLeaderChange() {
+    return loop.nanos() - leaderChangedAt;
   }
 
   /** Forgets the leader; the store is about to be read anew. */
@@ -95,24 +95,24 @@
     if (change.revision() < leaderRevision()) {
       return;
     }
-    leader = change instanceof Entry entry ? Optional.of(leaderOf(entry)) : Optional.empty();
-    leaderSince = loop.nanos();
+    leader = change instanceof Entry entry ? Optional.of(readLeader(entry)) : Optional.empty();
+    leaderChangedAt = loop.nanos();
     String incarnationId = leader.map(Leader::incarnationId).orElse("");
     log.info("leader changed leader={}", incarnationId.isEmpty() ? "none" : incarnationId);
     audit.leaderChanged(incarnationId, leaderRevision());
   }
 
-  private static Leader leaderOf(Entry entry) {
+  private static Leader readLeader(Entry entry) {
     String id = IncarnationIds.read(entry.value());
     return new Leader(id, IncarnationIds.labelOf(id), entry.revision());
   }
 
   /** Stands for election where there is no leader, or a former incarnation of this controller. */
   void campaign() {
-    if (campaigning || !membership.leaseValid() || !leaderKeyKnown.getAsBoolean()) {
+    if (campaigning || !membership.leaseValid() || !leaderKeyRead.getAsBoolean()) {
       return;
     }
-    if (leader.isPresent() && !isFormerIncarnation(leader.get())) {
+    if (leader.isPresent() && !isOwnFormerIncarnation(leader.get())) {
       return;
     }
     campaigning = true;
@@ -136,8 +136,8 @@
         });
   }
 
-  private boolean isFormerIncarnation(Leader candidate) {
-    return candidate.label.equals(membership.label())
-        && !membership.isOwnIncarnation(candidate.incarnationId);
+  private boolean isOwnFormerIncarnation(Leader current) {
+    return current.label.equals(membership.label())
+        && !membership.isOwnIncarnation(current.incarnationId);
   }
 }
--- a/src/main/java/org/sandford/cluster/MachineAssignmentPlanner.java
+++ b/src/main/java/org/sandford/cluster/MachineAssignmentPlanner.java
@@ -90,7 +90,7 @@
 
   Plan plan(Changes changes) {
     changes.removals.forEach(this::remove);
-    changes.additions.forEach(add -> add(add, changes.removals));
+    changes.additions.forEach(machine -> add(machine, changes.removals));
     machines.partitions().forEach(this::splitIfTooLarge);
     assignOwners(changes.moves);
     return new Plan(lastGeneration, partitionsForOneTransaction());
@@ -112,17 +112,19 @@
                 partition.getKey() < number && partition.getValue().machines().containsKey(name));
   }
 
-  private void add(Cluster.NewMachine add, Set<String> removals) {
-    MachineAssignment known = machines.of().get(add.name());
+  private void add(Cluster.NewMachine machine, Set<String> removals) {
+    MachineAssignment known = machines.of().get(machine.name());
     if (known == null) {
       int number = partitionWithMostSpace();
       machinesPerPartition.merge(number, 1, Integer::sum);
       draft(number)
           .put(
-              add.name(),
-              MachineAssignment.withoutOwner(add.address(), add.kind(), add.zone(), add.spot()));
-    } else if (!known.hasAddress() && add.hasAddress() && !removals.contains(add.name())) {
-      draft(partitionOfMachine.get(add.name())).put(add.name(), known.at(add.address()));
+              machine.name(),
+              MachineAssignment.withoutOwner(
+                  machine.address(), machine.kind(), machine.zone(), machine.spot()));
+    } else if (!known.hasAddress() && machine.hasAddress() && !removals.contains(machine.name())) {
+      draft(partitionOfMachine.get(machine.name()))
+          .put(machine.name(), known.withAddress(machine.address()));
     }
   }
 
@@ -138,18 +140,18 @@
    * provisioned together start and are decommissioned together, and so change few partitions.
    */
   private int partitionWithMostSpace() {
-    int best = 0;
-    while (machinesPerPartition.containsKey(best)) {
-      best++;
+    int emptiest = 0;
+    while (machinesPerPartition.containsKey(emptiest)) {
+      emptiest++;
     }
-    int least = Integer.MAX_VALUE;
+    int fewestMachines = Integer.MAX_VALUE;
     for (Map.Entry<Integer, Integer> e : machinesPerPartition.entrySet()) {
-      if (e.getValue() < maxEntriesPerPartition() && e.getValue() < least) {
-        best = e.getKey();
-        least = e.getValue();
+      if (e.getValue() < maxEntriesPerPartition() && e.getValue() < fewestMachines) {
+        emptiest = e.getKey();
+        fewestMachines = e.getValue();
       }
     }
-    return best;
+    return emptiest;
   }
 
   private void splitIfTooLarge(int number, Partition partition) {
@@ -171,13 +173,13 @@
     int moved = 0;
     while (moved < excess && drafts.size() + RESERVED_OPS < facts.stateTxnOps()) {
       int target = nextPartitionNumber();
-      int until = Math.min(excess, moved + maxEntriesPerPartition());
-      for (String name : moving.subList(moved, until)) {
+      int end = Math.min(excess, moved + maxEntriesPerPartition());
+      for (String name : moving.subList(moved, end)) {
         draft(target).put(name, remaining.remove(name));
         partitionOfMachine.put(name, target);
       }
-      machinesPerPartition.put(target, until - moved);
-      moved = until;
+      machinesPerPartition.put(target, end - moved);
+      moved = end;
     }
     if (moved < excess) {
       // The other copies follow with the next transactions; until then the partition stays.
@@ -201,11 +203,11 @@
     for (int number : numbers) {
       Map<String, MachineAssignment> before = drafts.getOrDefault(number, stored(number));
       for (Map.Entry<String, MachineAssignment> e : new TreeMap<>(before).entrySet()) {
-        boolean counts = partitionOfMachine.getOrDefault(e.getKey(), number) == number;
+        boolean authoritative = partitionOfMachine.getOrDefault(e.getKey(), number) == number;
         String requestedOwner = moves.get(e.getKey());
-        if (counts && changesOwner(e.getValue(), requestedOwner)) {
+        if (authoritative && needsNewOwner(e.getValue(), requestedOwner)) {
           MachineAssignment assigned =
-              e.getValue().ownedBy(nextOwner(e.getValue(), requestedOwner), ++lastGeneration);
+              e.getValue().withOwner(nextOwner(e.getValue(), requestedOwner), ++lastGeneration);
           shardSizes.add(assigned);
           draft(number).put(e.getKey(), assigned);
         }
@@ -213,7 +215,7 @@
     }
   }
 
-  private boolean changesOwner(MachineAssignment machine, String requestedOwner) {
+  private boolean needsNewOwner(MachineAssignment machine, String requestedOwner) {
     boolean moves = isMember(requestedOwner) && !requestedOwner.equals(machine.owner());
     return moves || !liveMembers.contains(machine.owner());
   }
@@ -235,13 +237,13 @@
    */
   private Map<Integer, Partition> partitionsForOneTransaction() {
     Map<Integer, Partition> changed = new TreeMap<>();
-    List<Integer> order = new ArrayList<>(drafts.keySet());
-    order.sort(
+    List<Integer> draftNumbers = new ArrayList<>(drafts.keySet());
+    draftNumbers.sort(
         (a, b) ->
             Boolean.compare(
                 machines.partitions().containsKey(a), machines.partitions().containsKey(b)));
     int total = 0;
-    for (int number : order) {
+    for (int number : draftNumbers) {
       Map<String, MachineAssignment> draft = drafts.get(number);
       if (draft.equals(stored(number)) || !losesNoMachine(number, draft, changed)) {
         continue;
@@ -277,9 +279,9 @@
         continue;
       }
       int other = partitionOfMachine.get(name);
-      Map<String, MachineAssignment> there =
+      Map<String, MachineAssignment> otherMachines =
           changed.containsKey(other) ? changed.get(other).machines() : stored(other);
-      if (other == number || !there.containsKey(name)) {
+      if (other == number || !otherMachines.containsKey(name)) {
         return false;
       }
     }
--- a/src/main/java/org/sandford/cluster/PendingChanges.java
+++ b/src/main/java/org/sandford/cluster/PendingChanges.java
@@ -31,7 +31,7 @@
   private final Map<String, String> moves = new LinkedHashMap<>();
 
   /** The generation of each team under which its owner handed it over. */
-  private final Map<String, Long> handedOver = new TreeMap<>();
+  private final Map<String, Long> handedOverGenerations = new TreeMap<>();
 
   /**
    * Makes an empty set of changes.
@@ -46,12 +46,12 @@
 
   void addMachine(NewMachine machine) {
     MachineAssignment known = map.machines().of().get(machine.name());
-    boolean adds = known == null || (!known.hasAddress() && machine.hasAddress());
-    if (!adds || removals.contains(machine.name())) {
+    boolean changesMap = known == null || (!known.hasAddress() && machine.hasAddress());
+    if (!changesMap || removals.contains(machine.name())) {
       return;
     }
-    NewMachine before = additions.get(machine.name());
-    if (before == null || !before.hasAddress()) {
+    NewMachine pendingAddition = additions.get(machine.name());
+    if (pendingAddition == null || !pendingAddition.hasAddress()) {
       additions.put(machine.name(), machine);
       onChange.run();
     }
@@ -75,8 +75,8 @@
     onChange.run();
   }
 
-  void moveMachine(String name, String toOwner) {
-    moves.put(name, toOwner);
+  void moveMachine(String name, String newOwner) {
+    moves.put(name, newOwner);
     onChange.run();
   }
 
@@ -86,17 +86,17 @@
   }
 
   /** The team's owner of this generation no longer acts for it. */
-  void handOverTeam(String team, long generation) {
+  void markHandedOver(String team, long generation) {
     TeamAssignment current = map.teams().of().get(team);
     if (current != null && current.generation() == generation) {
-      handedOver.put(team, generation);
+      handedOverGenerations.put(team, generation);
       onChange.run();
     }
   }
 
   boolean isHandedOver(String team) {
     TeamAssignment current = map.teams().of().get(team);
-    Long generation = handedOver.get(team);
+    Long generation = handedOverGenerations.get(team);
     return current != null && generation != null && generation == current.generation();
   }
 
@@ -133,7 +133,7 @@
     removals.removeIf(name -> !map.machines().of().containsKey(name));
     urgentRemovals.retainAll(removals);
     moves.entrySet().removeIf(move -> isMovedOrImpossible(move.getKey(), move.getValue()));
-    handedOver.keySet().removeIf(team -> !isHandedOver(team));
+    handedOverGenerations.keySet().removeIf(team -> !isHandedOver(team));
   }
 
   private boolean isAdded(NewMachine addition) {
@@ -141,8 +141,8 @@
     return current != null && (current.hasAddress() || !addition.hasAddress());
   }
 
-  private boolean isMovedOrImpossible(String machine, String toOwner) {
+  private boolean isMovedOrImpossible(String machine, String newOwner) {
     MachineAssignment current = map.machines().of().get(machine);
-    return current == null || current.owner().equals(toOwner) || !members.contains(toOwner);
+    return current == null || current.owner().equals(newOwner) || !members.contains(newOwner);
   }
 }
--- a/src/main/java/org/sandford/cluster/RecordVersions.java
+++ b/src/main/java/org/sandford/cluster/RecordVersions.java
@@ -30,22 +30,22 @@
   private static final Logger log = LoggerFactory.getLogger(RecordVersions.class);
 
   /** Prefix of the controllers' incarnations in the store, followed by the label. */
-  static final String PREFIX = "inc/";
+  static final String INCARNATION_PREFIX = "inc/";
 
   private static final String INCARNATION_FIELD = "n";
   private static final String VERSION_FIELD = "v";
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final Set<String> labels = new HashSet<>();
+  private final Set<String> controllerLabels = new HashSet<>();
   private boolean allKnowGangs;
 
   /** Makes an instance that assumes the oldest version; {@link #start} begins to read. */
   public RecordVersions(EventLoop loop, Settings settings, StoreClient store) {
     this.loop = loop;
     this.store = store;
-    labels.add(settings.label());
-    settings.others().forEach(other -> labels.add(other.label()));
+    controllerLabels.add(settings.label());
+    settings.others().forEach(other -> controllerLabels.add(other.label()));
   }
 
   /** The record of an incarnation of this version; versions without gangs read its number alone. */
@@ -67,10 +67,10 @@
 
   private void poll() {
     store.list(
-        PREFIX,
+        INCARNATION_PREFIX,
         result -> {
           if (result instanceof ListResult.Listed listed) {
-            update(listed.entries());
+            checkVersions(listed.entries());
           }
           if (!allKnowGangs) {
             loop.after(ClusterConstants.RECORD_VERSIONS_POLL_MS, this::poll);
@@ -78,14 +78,14 @@
         });
   }
 
-  private void update(List<Entry> entries) {
+  private void checkVersions(List<Entry> entries) {
     Map<String, Integer> versions = new HashMap<>();
     for (Entry entry : entries) {
-      String label = entry.key().substring(PREFIX.length());
+      String label = entry.key().substring(INCARNATION_PREFIX.length());
       versions.put(label, entry.value().path(VERSION_FIELD).asInt(1));
     }
     allKnowGangs =
-        labels.stream()
+        controllerLabels.stream()
             .allMatch(
                 label -> versions.getOrDefault(label, 0) >= ClusterConstants.RECORD_VERSION_GANGS);
     if (allKnowGangs) {
--- a/src/main/java/org/sandford/cluster/SessionMembership.java
+++ b/src/main/java/org/sandford/cluster/SessionMembership.java
@@ -46,12 +46,12 @@
     /** The membership key stands on the session lease. */
     MEMBER;
 
-    boolean mayFollow(State former) {
+    boolean mayFollow(State previous) {
       return switch (this) {
         case UNREGISTERED -> true;
-        case REGISTERED -> former == UNREGISTERED;
-        case LEASED -> former == REGISTERED;
-        case MEMBER -> former == LEASED;
+        case REGISTERED -> previous == UNREGISTERED;
+        case LEASED -> previous == REGISTERED;
+        case MEMBER -> previous == LEASED;
       };
     }
   }
@@ -78,7 +78,7 @@
   private final Listener listener;
 
   /** Callbacks of one attempt to join, and of the membership that it led to. */
-  private final CallbackGuard attempts = new CallbackGuard();
+  private final CallbackGuard joinAttempts = new CallbackGuard();
 
   private State state = State.UNREGISTERED;
   private Optional<Incarnation> incarnation = Optional.empty();
@@ -91,7 +91,7 @@
   /** The store's revision of the membership key; meaningful as {@link State#MEMBER}. */
   private long memberRevision;
 
-  private long requestIds;
+  private long lastRequestNumber;
 
   SessionMembership(EventLoop loop, Settings settings, StoreClient store, Listener listener) {
     this.loop = loop;
@@ -134,15 +134,15 @@
 
   /** An id for a request outside the store that nobody used before. */
   String newRequestId() {
-    return IncarnationIds.requestId(incarnationIdOrEmpty(), ++requestIds);
+    return IncarnationIds.requestId(incarnationIdOrEmpty(), ++lastRequestNumber);
   }
 
   /** Begins to join, with a new incarnation; callbacks of a former attempt do nothing any more. */
   void join() {
-    attempts.beginAttempt();
+    joinAttempts.beginAttempt();
     transitionTo(State.UNREGISTERED);
     leaseExpiresAt = loop.nanos();
-    store.read(incarnationKey(), Priority.RENEWAL, attempts.guard(this::incarnationRead));
+    store.read(incarnationKey(), Priority.RENEWAL, joinAttempts.guard(this::onIncarnationRead));
   }
 
   /**
@@ -160,7 +160,7 @@
   }
 
   private String incarnationKey() {
-    return RecordVersions.PREFIX + settings.label();
+    return RecordVersions.INCARNATION_PREFIX + settings.label();
   }
 
   private void transitionTo(State next) {
@@ -172,10 +172,10 @@
   }
 
   private void joinAgainSoon() {
-    loop.after(StoreConstants.STORE_RETRY_MS, attempts.guardTask(this::join));
+    loop.after(StoreConstants.STORE_RETRY_MS, joinAttempts.guardTask(this::join));
   }
 
-  private void incarnationRead(ReadResult result) {
+  private void onIncarnationRead(ReadResult result) {
     if (result instanceof ReadResult.Found found) {
       Entry entry = found.entry();
       registerIncarnation(entry.value().path(NUMBER_FIELD).asLong() + 1, entry.revision());
@@ -186,15 +186,15 @@
     }
   }
 
-  private void registerIncarnation(long number, long formerRevision) {
+  private void registerIncarnation(long number, long previousRevision) {
     store.transact(
-        Map.of(incarnationKey(), formerRevision),
+        Map.of(incarnationKey(), previousRevision),
         List.of(Op.put(incarnationKey(), RecordVersions.announcement(number))),
         Priority.RENEWAL,
-        attempts.guard(result -> incarnationRegistered(number, result)));
+        joinAttempts.guard(result -> onIncarnationRegistered(number, result)));
   }
 
-  private void incarnationRegistered(long number, TransactionResult result) {
+  private void onIncarnationRegistered(long number, TransactionResult result) {
     // An unknown outcome may have used the number up: the next attempt reads a higher one.
     if (result.outcome() != Outcome.APPLIED) {
       joinAgainSoon();
@@ -202,7 +202,7 @@
     }
     String id = IncarnationIds.of(settings.label(), number);
     incarnation = Optional.of(new Incarnation(id, number, result.revision()));
-    requestIds = 0;
+    lastRequestNumber = 0;
     transitionTo(State.REGISTERED);
     acquireLease();
   }
@@ -211,18 +211,18 @@
     long sentAt = loop.nanos();
     store.createLease(
         ClusterConstants.SESSION_LEASE_TTL_MS,
-        attempts.guard(
+        joinAttempts.guard(
             grant -> {
               if (grant instanceof LeaseGrant.Granted granted) {
-                leaseAcquired(granted.leaseId(), sentAt);
+                onLeaseAcquired(granted.leaseId(), sentAt);
               } else {
                 joinAgainSoon();
               }
             }));
   }
 
-  private void leaseAcquired(long grantedLeaseId, long sentAt) {
-    leaseId = grantedLeaseId;
+  private void onLeaseAcquired(long grantedId, long sentAt) {
+    leaseId = grantedId;
     leaseExpiresAt = leaseExpiry(sentAt);
     transitionTo(State.LEASED);
     writeMemberKey(incarnation.orElseThrow());
@@ -247,10 +247,10 @@
                 IncarnationIds.toJson(registered.id),
                 leaseId)),
         Priority.RENEWAL,
-        attempts.guard(result -> memberKeyWritten(registered, result)));
+        joinAttempts.guard(result -> onMemberKeyWritten(registered, result)));
   }
 
-  private void memberKeyWritten(Incarnation registered, TransactionResult result) {
+  private void onMemberKeyWritten(Incarnation registered, TransactionResult result) {
     if (result.outcome() != Outcome.APPLIED) {
       joinAgainSoon();
       return;
@@ -263,15 +263,15 @@
   }
 
   private void scheduleRenewal() {
-    loop.after(ClusterConstants.SESSION_LEASE_RENEW_MS, attempts.guardTask(this::renewLease));
+    loop.after(ClusterConstants.SESSION_LEASE_RENEW_MS, joinAttempts.guardTask(this::renewLease));
   }
 
   private void renewLease() {
     long sentAt = loop.nanos();
-    store.renewLease(leaseId, attempts.guard(renewal -> leaseRenewed(renewal, sentAt)));
+    store.renewLease(leaseId, joinAttempts.guard(renewal -> onLeaseRenewed(renewal, sentAt)));
   }
 
-  private void leaseRenewed(LeaseRenewal renewal, long sentAt) {
+  private void onLeaseRenewed(LeaseRenewal renewal, long sentAt) {
     if (renewal instanceof LeaseRenewal.Expired) {
       log.info("session lease expired, joining again incarnation={}", incarnationIdOrEmpty());
       join();
--- a/src/main/java/org/sandford/cluster/ShardBalancer.java
+++ b/src/main/java/org/sandford/cluster/ShardBalancer.java
@@ -25,7 +25,7 @@
   private static final long INTERVAL_NANOS = ClusterConstants.REBALANCE_INTERVAL_MS * 1_000_000L;
 
   private final EventLoop loop;
-  private long rebalancedAt;
+  private long lastRebalancedAt;
 
   ShardBalancer(EventLoop loop) {
     this.loop = loop;
@@ -34,10 +34,10 @@
   /** The machines to move now with their next owners, in the order in which they are to move. */
   Map<String, String> planMoves(Collection<String> memberIds, Machines machines) {
     long now = loop.nanos();
-    if (memberIds.size() < 2 || now - rebalancedAt < INTERVAL_NANOS) {
+    if (memberIds.size() < 2 || now - lastRebalancedAt < INTERVAL_NANOS) {
       return Map.of();
     }
-    rebalancedAt = now;
+    lastRebalancedAt = now;
     Map<String, List<String>> shards = shards(memberIds, machines);
     Comparator<String> bySize = Comparator.comparingInt(owner -> shards.get(owner).size());
     String largest = Collections.max(shards.keySet(), bySize);
@@ -46,15 +46,15 @@
     if (surplus < ClusterConstants.MIN_MACHINES_PER_REBALANCE) {
       return Map.of();
     }
-    int number =
+    int moveCount =
         Math.max(
             ClusterConstants.MIN_MACHINES_PER_REBALANCE,
             (int) (surplus * ClusterConstants.REBALANCED_SURPLUS_SHARE));
     List<String> candidates = shards.get(largest);
     candidates.sort(byMachinesInZone(shards.get(smallest), machines.of()));
     Map<String, String> moves = new LinkedHashMap<>();
-    candidates.stream().limit(number).forEach(name -> moves.put(name, smallest));
-    log.info("shards rebalanced machines={} from={} to={}", number, largest, smallest);
+    candidates.stream().limit(moveCount).forEach(name -> moves.put(name, smallest));
+    log.info("shards rebalanced machines={} from={} to={}", moveCount, largest, smallest);
     return moves;
   }
 
--- a/src/main/java/org/sandford/cluster/ShardSizes.java
+++ b/src/main/java/org/sandford/cluster/ShardSizes.java
@@ -7,12 +7,12 @@
 
 /** The number of machines in each owner's shard, in all and by zone. Part of one plan. */
 final class ShardSizes {
-  private final Map<String, Integer> machinesByOwner = new HashMap<>();
-  private final Map<String, Integer> machinesByOwnerAndZone = new HashMap<>();
+  private final Map<String, Integer> machineCountByOwner = new HashMap<>();
+  private final Map<String, Integer> machineCountByOwnerAndZone = new HashMap<>();
 
   void add(MachineAssignment machine) {
-    machinesByOwner.merge(machine.owner(), 1, Integer::sum);
-    machinesByOwnerAndZone.merge(zoneKey(machine.owner(), machine.zone()), 1, Integer::sum);
+    machineCountByOwner.merge(machine.owner(), 1, Integer::sum);
+    machineCountByOwnerAndZone.merge(zoneKey(machine.owner(), machine.zone()), 1, Integer::sum);
   }
 
   /**
@@ -22,14 +22,14 @@
   String leastLoaded(Collection<String> members, String zone) {
     String best = "";
     int bestInZone = Integer.MAX_VALUE;
-    int bestInAll = Integer.MAX_VALUE;
+    int bestInTotal = Integer.MAX_VALUE;
     for (String member : members) {
-      int inZone = machinesByOwnerAndZone.getOrDefault(zoneKey(member, zone), 0);
-      int inAll = machinesByOwner.getOrDefault(member, 0);
-      if (inZone < bestInZone || (inZone == bestInZone && inAll < bestInAll)) {
+      int inZone = machineCountByOwnerAndZone.getOrDefault(zoneKey(member, zone), 0);
+      int inTotal = machineCountByOwner.getOrDefault(member, 0);
+      if (inZone < bestInZone || (inZone == bestInZone && inTotal < bestInTotal)) {
         best = member;
         bestInZone = inZone;
-        bestInAll = inAll;
+        bestInTotal = inTotal;
       }
     }
     return best;
--- a/src/main/java/org/sandford/cluster/TeamAssignmentPlanner.java
+++ b/src/main/java/org/sandford/cluster/TeamAssignmentPlanner.java
@@ -18,7 +18,7 @@
  */
 final class TeamAssignmentPlanner {
   /** A difference between two members' numbers of teams that a handover makes smaller. */
-  private static final int UNBALANCED_DIFFERENCE = 2;
+  private static final int MIN_HANDOVER_DIFFERENCE = 2;
 
   private final Teams teams;
   private final Predicate<String> handedOver;
@@ -55,54 +55,55 @@
    * is the planner's own teams when nothing changes; it may be called once.
    */
   Teams plan(Set<String> configuredTeams) {
-    Map<String, TeamAssignment> next = new TreeMap<>(teams.of());
+    Map<String, TeamAssignment> assignments = new TreeMap<>(teams.of());
     long lastGeneration = teams.lastGeneration();
-    Set<String> names = new TreeSet<>(configuredTeams);
-    names.addAll(next.keySet());
+    Set<String> teamNames = new TreeSet<>(configuredTeams);
+    teamNames.addAll(assignments.keySet());
     boolean changed = false;
-    for (String team : names) {
-      TeamAssignment current = next.get(team);
+    for (String team : teamNames) {
+      TeamAssignment current = assignments.get(team);
       if (current != null && retainsOwner(team, current)) {
         continue;
       }
       Optional<String> owner = nextOwner(current);
       if (owner.isPresent()) {
         teamsByOwner.get(owner.get()).add(team);
-        next.put(team, new TeamAssignment(owner.get(), ++lastGeneration));
+        assignments.put(team, new TeamAssignment(owner.get(), ++lastGeneration));
         changed = true;
       }
     }
-    return changed ? new Teams(teams.revision(), lastGeneration, next) : teams;
+    return changed ? new Teams(teams.revision(), lastGeneration, assignments) : teams;
   }
 
   /** The member with the fewest teams; not the one that handed it over, unless it is alone. */
   private Optional<String> nextOwner(TeamAssignment current) {
-    String best = null;
+    String leastLoaded = null;
     for (Map.Entry<String, List<String>> candidate : teamsByOwner.entrySet()) {
       boolean formerOwner =
           current != null && candidate.getKey().equals(current.owner()) && teamsByOwner.size() > 1;
       if (!formerOwner
-          && (best == null || candidate.getValue().size() < teamsByOwner.get(best).size())) {
-        best = candidate.getKey();
+          && (leastLoaded == null
+              || candidate.getValue().size() < teamsByOwner.get(leastLoaded).size())) {
+        leastLoaded = candidate.getKey();
       }
     }
-    return Optional.ofNullable(best);
+    return Optional.ofNullable(leastLoaded);
   }
 
   /** A team whose owner has too many, if there is one: its owner is to hand it over. */
   Optional<String> teamToHandOver() {
-    int most = 0;
-    int least = Integer.MAX_VALUE;
+    int mostTeams = 0;
+    int fewestTeams = Integer.MAX_VALUE;
     String mostLoaded = "";
     for (Map.Entry<String, List<String>> e : teamsByOwner.entrySet()) {
-      int number = e.getValue().size();
-      if (number > most) {
-        most = number;
+      int teamCount = e.getValue().size();
+      if (teamCount > mostTeams) {
+        mostTeams = teamCount;
         mostLoaded = e.getKey();
       }
-      least = Math.min(least, number);
+      fewestTeams = Math.min(fewestTeams, teamCount);
     }
-    return most - least >= UNBALANCED_DIFFERENCE
+    return mostTeams - fewestTeams >= MIN_HANDOVER_DIFFERENCE
         ? Optional.of(teamsByOwner.get(mostLoaded).get(0))
         : Optional.empty();
   }
--- a/src/main/java/org/sandford/cluster/TerminalStateWatch.java
+++ b/src/main/java/org/sandford/cluster/TerminalStateWatch.java
@@ -25,7 +25,7 @@
   }
 
   /** No key has this prefix: listing it costs the least where only the revision is needed. */
-  private static final String EMPTY_PREFIX = "none/";
+  private static final String UNUSED_PREFIX = "none/";
 
   private final PrefixWatch watch;
   private final AuditLog audit;
@@ -33,7 +33,7 @@
   private MonotonicTime completeSince = MonotonicTime.NEVER;
 
   TerminalStateWatch(EventLoop loop, StoreClient store, AuditLog audit, Listener listener) {
-    this.watch = new PrefixWatch(loop, store, EMPTY_PREFIX, OpenJobReader.TERMINAL_PREFIX, this);
+    this.watch = new PrefixWatch(loop, store, UNUSED_PREFIX, OpenJobReader.TERMINAL_PREFIX, this);
     this.audit = audit;
     this.listener = listener;
   }
--- a/src/test/java/org/sandford/cancel/CancellationsTest.java
+++ b/src/test/java/org/sandford/cancel/CancellationsTest.java
@@ -29,7 +29,7 @@
   private final List<String> notified = new ArrayList<>();
   private MonotonicTime storeFreshAt = MonotonicTime.NEVER;
   private MonotonicTime terminalStatesCompleteSince = MonotonicTime.NEVER;
-  private long mapRevision = 10;
+  private long machinesRevision = 10;
   private String incarnationId = "c0#1";
 
   private static Settings settings() {
@@ -37,11 +37,11 @@
   }
 
   private Cancellations controller() {
-    Cancellations made =
+    Cancellations cancellations =
         new Cancellations(
             clock, settings(), new RecordingPeers(), new StoreStub(), () -> incarnationId);
-    made.start(notified::add);
-    return made;
+    cancellations.start(notified::add);
+    return cancellations;
   }
 
   private final class RecordingPeers implements Cancellations.Peers {
@@ -69,7 +69,7 @@
 
     @Override
     public long machinesRevision() {
-      return mapRevision;
+      return machinesRevision;
     }
   }
 
@@ -83,7 +83,7 @@
   private CancellationsResponse responseOf(
       String incarnation, long since, long upTo, String... jobs) {
     return new CancellationsResponse(
-        clock.nanos(), incarnation, since, upTo, List.of(jobs), mapRevision);
+        clock.nanos(), incarnation, since, upTo, List.of(jobs), machinesRevision);
   }
 
   private void allPeersRespond(Cancellations c) {
@@ -149,12 +149,12 @@
     readStore();
     clock.pass(LAST_RENEWAL_S);
     CancellationsResponse newer = responseOf("c1#1", 0, 0);
-    newer.machinesRevision = mapRevision + 1;
+    newer.machinesRevision = machinesRevision + 1;
     c.handleResponse("c1", newer);
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
     assertFalse(
         c.mayRenew(true), "another may own the machines by now, and counts on their leases to end");
-    mapRevision++;
+    machinesRevision++;
     c.handleResponse("c1", newer);
     assertTrue(c.mayRenew(true));
   }
--- a/src/test/java/org/sandford/cluster/AssignmentMapTest.java
+++ b/src/test/java/org/sandford/cluster/AssignmentMapTest.java
@@ -56,12 +56,12 @@
   @Test
   void olderPartitionOrHeadReplacesNothing() {
     Machines known =
-        Machines.NONE.with(
+        Machines.NONE.withNewer(
             9,
             40,
             Map.of(0, new Partition(9, machines(0, 3)), 1, new Partition(8, machines(3, 6))));
     Machines after =
-        known.with(
+        known.withNewer(
             8,
             30,
             Map.of(0, new Partition(5, machines(0, 1)), 1, new Partition(10, machines(3, 4))));
--- a/src/test/java/org/sandford/cluster/MachineAssignmentPlannerTest.java
+++ b/src/test/java/org/sandford/cluster/MachineAssignmentPlannerTest.java
@@ -19,7 +19,7 @@
 class MachineAssignmentPlannerTest {
   private static final int VALUE_BYTES = 2048;
   private static final int TXN_OPS = 5;
-  private static final MachineAssignmentPlanner.Changes NOTHING =
+  private static final MachineAssignmentPlanner.Changes NO_CHANGES =
       new MachineAssignmentPlanner.Changes(List.of(), Set.of(), Map.of());
 
   private static Settings.Facts facts() {
@@ -28,14 +28,14 @@
 
   /** A map that was written under a larger value limit, as one partition. */
   private static Machines onePartition(int count, String owner) {
-    Map<String, MachineAssignment> of = new TreeMap<>();
+    Map<String, MachineAssignment> assignments = new TreeMap<>();
     for (int i = 0; i < count; i++) {
-      of.put(
+      assignments.put(
           String.format("n-%06d", i),
           new MachineAssignment(
               owner, i + 1, "10.1.0." + i + ":9000", "m8", i % 2 == 0 ? "a" : "b", false));
     }
-    return Machines.NONE.with(1, count, Map.of(0, new Partition(1, of)));
+    return Machines.NONE.withNewer(1, count, Map.of(0, new Partition(1, assignments)));
   }
 
   private static Machines applyPlan(
@@ -52,7 +52,7 @@
     assertTrue(
         plan.changed().size() + 2 <= TXN_OPS,
         plan.changed().size() + " partitions in one transaction");
-    return before.with(revision, plan.lastGeneration(), partitions);
+    return before.withNewer(revision, plan.lastGeneration(), partitions);
   }
 
   @Test
@@ -64,7 +64,7 @@
       machines =
           applyPlan(
               machines,
-              new MachineAssignmentPlanner(facts(), machines, liveMembers).plan(NOTHING),
+              new MachineAssignmentPlanner(facts(), machines, liveMembers).plan(NO_CHANGES),
               ++transactions + 1);
       assertEquals(230, machines.of().size());
       assertTrue(transactions < 20, "it does not come to an end");
@@ -94,7 +94,7 @@
   void newOwnerGetsNewGeneration() {
     Machines machines = onePartition(10, "c0#1");
     MachineAssignmentPlanner.Plan plan =
-        new MachineAssignmentPlanner(facts(), machines, Set.of("c1#1")).plan(NOTHING);
+        new MachineAssignmentPlanner(facts(), machines, Set.of("c1#1")).plan(NO_CHANGES);
     assertEquals(20, plan.lastGeneration());
     plan.changed()
         .get(0)
--- a/src/test/java/org/sandford/cluster/PrefixWatchTest.java
+++ b/src/test/java/org/sandford/cluster/PrefixWatchTest.java
@@ -73,17 +73,17 @@
   }
 
   @Test
-  void answerWithoutChangesProvesFreshnessFromItsRequest() {
+  void emptyReplyProvesFreshnessSinceItsRequest() {
     watch.start();
     reply(200, LISTING);
     loop.pass(1);
-    MonotonicTime beforeAnswer = MonotonicTime.ofNanos(loop.nanos());
-    assertTrue(watch.freshAt().isBefore(beforeAnswer));
+    MonotonicTime beforeReply = MonotonicTime.ofNanos(loop.nanos());
+    assertTrue(watch.freshAt().isBefore(beforeReply));
     reply(200, "{\"epoch\":9,\"log\":[]}");
-    assertTrue(watch.freshAt().isBefore(beforeAnswer), "the request left a second ago");
+    assertTrue(watch.freshAt().isBefore(beforeReply), "the request left a second ago");
     loop.pass(1);
     reply(200, "{\"epoch\":9,\"log\":[]}");
-    assertFalse(watch.freshAt().isBefore(beforeAnswer));
+    assertFalse(watch.freshAt().isBefore(beforeReply));
     assertEquals(2, handled.size(), "the listing only");
   }
 
--- a/src/test/java/org/sandford/cluster/SessionMembershipTest.java
+++ b/src/test/java/org/sandford/cluster/SessionMembershipTest.java
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void answersToAnEarlierAttemptAreDropped() {
+  void repliesToAnEarlierAttemptAreIgnored() {
     membership.join();
     membership.join();
     reply(0, 404, "{}");
--- a/src/test/java/org/sandford/cluster/ShardBalancerTest.java
+++ b/src/test/java/org/sandford/cluster/ShardBalancerTest.java
@@ -32,7 +32,7 @@
               i % 2 == 0 ? "a" : "b",
               false));
     }
-    return Machines.NONE.with(1, count, Map.of(0, new Partition(1, machines)));
+    return Machines.NONE.withNewer(1, count, Map.of(0, new Partition(1, machines)));
   }
 
   @Test
