--- a/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
@@ -19,9 +19,10 @@
 import org.sandford.store.StoreClient.Priority;
 
 /**
- * Writes the assignment map by compare-and-swap: each transaction has the leader's key and every
- * key that it changes as conditions, and one is under way at a time. After any other outcome than
- * success the map is read back before the next write. Runs on the event loop.
+ * Writes the assignment map by compare-and-swap: each transaction has the revisions of the leader's
+ * key and of every key that it changes as conditions. One transaction runs at a time. After any
+ * outcome but success, one listing refreshes the map before the next write; if it fails too, the
+ * conditions reject writes that are based on an old map. Runs on the event loop.
  */
 final class AssignmentMapWriter {
   /** Notified on the event loop when the next write may begin. */
@@ -29,7 +30,9 @@
     /** A write was applied, and {@link AssignmentMapCache} shows it. */
     void written();
 
-    /** The outcome of a write was not success, and this is what the store holds by now. */
+    /**
+     * A write did not succeed or its outcome is unknown; the entries are what the store holds now.
+     */
     void readBack(List<Entry> entries);
   }
 
@@ -58,14 +61,14 @@
     this.listener = listener;
   }
 
-  /** Whether a write is under way, or its outcome is being read back. */
+  /** Returns whether a write is in progress or the map is being read back. */
   boolean isWriting() {
     return writing;
   }
 
   /**
-   * Whether changes that nobody waits for may be written now: records go first, as long as the wait
-   * does not exceed {@link ClusterConstants#MAP_WRITE_MAX_DELAY_MS}.
+   * Returns whether non-urgent changes may be written now. Records have priority over them, but
+   * delay them by at most {@link ClusterConstants#MAP_WRITE_MAX_DELAY_MS}.
    */
   boolean mayWriteNonUrgentChanges() {
     long overdueMs = loop.millis() - nextNonUrgentWriteAtMs;
@@ -73,7 +76,7 @@
         && (store.hasSpareWriteRate() || overdueMs >= ClusterConstants.MAP_WRITE_MAX_DELAY_MS);
   }
 
-  /** Writes the teams and partitions that differ from the map; nothing if none does. */
+  /** Writes the teams and partitions that differ from the map, if any. */
   void write(long leaderRevision, Teams nextTeams, MachineAssignmentPlanner.Plan machines) {
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(ClusterKeys.LEADER, leaderRevision);
@@ -149,7 +152,10 @@
     }
   }
 
-  /** The outcome is unknown or another controller wrote: the next write needs what is stored. */
+  /**
+   * Reads the map again, since the outcome is unknown or another controller wrote: the next write
+   * needs the stored revisions.
+   */
   private void readBack() {
     writing = true;
     loop.after(StoreConstants.STORE_RETRY_MS, () -> store.list(ClusterKeys.ROOT, this::onReadBack));
@@ -161,7 +167,7 @@
       return;
     }
     if (listed.revision() < watch.revision()) {
-      // Older than what the watch has told: it would bring back members that have left.
+      // The listing is older than what the watch reported and would restore departed members.
       readBack();
       return;
     }
--- a/src/main/java/org/sandford/cluster/AssignmentReconciler.java
+++ b/src/main/java/org/sandford/cluster/AssignmentReconciler.java
@@ -10,9 +10,9 @@
 import org.sandford.settings.Settings;
 
 /**
- * The leader's reconciliation of the assignment map with the members and the pending changes: every
- * team and machine gets an owner that is a member, and shards are levelled. Runs on the event loop,
- * does nothing while this controller does not lead, and writes one transaction at a time.
+ * Reconciles the assignment map with the members and the pending changes: assigns every team and
+ * machine to a member and balances the shards. Does nothing unless this controller leads, and
+ * writes one transaction at a time. Runs on the event loop.
  */
 final class AssignmentReconciler {
   private final EventLoop loop;
@@ -44,7 +44,10 @@
     this.balancer = new ShardBalancer(loop);
   }
 
-  /** Reconciles after what is queued on the event loop, once for all requests until then. */
+  /**
+   * Schedules one reconciliation behind the tasks already queued on the event loop; further
+   * requests until then are merged into it.
+   */
   void reconcileSoon() {
     if (reconcileScheduled) {
       return;
@@ -57,7 +60,7 @@
         });
   }
 
-  /** Stands for election if need be, and as the leader writes what has to change now. */
+  /** Campaigns if there is no leader and, as the leader, writes the changes that are due. */
   void reconcile() {
     election.campaign();
     if (!election.isLeader() || writer.isWriting() || !members.contains(election.leaderId())) {
@@ -83,8 +86,9 @@
   }
 
   /**
-   * Whether the leader gives the other controllers time to join. It does so only where a cluster
-   * starts: in a failover every moment counts, and who joins later gets its shard by moves.
+   * Returns whether the leader still waits for other controllers to join. It waits only while the
+   * cluster starts: a failover must not be delayed, and a controller that joins later gets its
+   * shard by moves.
    */
   private boolean shouldWaitForControllers() {
     boolean firstAssignment = map.teams().revision() == 0;
@@ -105,8 +109,8 @@
   }
 
   /**
-   * Without {@code includeNonUrgent} only what tasks wait for is planned: machines without an
-   * owner, and removals of machines that held tasks.
+   * Plans the machine changes. Without {@code includeNonUrgent}, it plans only those that tasks
+   * wait for: owners for machines without one, and removals of machines that held tasks.
    */
   private MachineAssignmentPlanner.Plan planMachines(
       Set<String> memberIds, boolean includeNonUrgent) {
@@ -115,7 +119,10 @@
     return new MachineAssignmentPlanner(facts, map.machines(), memberIds).plan(changes);
   }
 
-  /** A team whose owner is to hand it over, so that no member has two more than another. */
+  /**
+   * Returns a team whose owner is to hand it over, so that no member has two teams more than
+   * another.
+   */
   Optional<String> teamToHandOver() {
     if (!election.isLeader() || writer.isWriting() || members.size() < 2) {
       return Optional.empty();
--- a/src/main/java/org/sandford/cluster/Cluster.java
+++ b/src/main/java/org/sandford/cluster/Cluster.java
@@ -22,12 +22,15 @@
 import org.sandford.store.StoreClient.Entry;
 
 /**
- * This controller's part in the cluster, as other packages see it: its session, the leadership, the
- * assignment map as far as it is known here, and the leader's changes of it. It assembles the
- * classes that do the work and passes what the store tells to them. Runs on the event loop.
+ * The interface of this package to the others: this controller's session, the leadership, the local
+ * copy of the assignment map, and the leader's changes to the map. It wires the classes of the
+ * package together and dispatches the store's changes to them. Runs on the event loop.
  */
 public final class Cluster implements Cancellations.Store {
-  /** The key whose revision is a condition of every record write: it changes with teams' owners. */
+  /**
+   * The key whose revision every record write has as a condition: it changes with the teams'
+   * owners.
+   */
   public static final String TEAMS_KEY = ClusterKeys.TEAMS;
 
   /** Notified on the event loop. */
@@ -38,14 +41,14 @@
     /** A job's terminal state was stored by any controller. */
     void jobEnded(String job, JsonNode record);
 
-    /** A job was stored for its team's owner, which has to take it up. */
+    /** A job was stored for its team's owner, which has to load it. */
     void jobAdded(String job, String team);
 
-    /** Terminal states may have been stored unseen: what rests on them must be read again. */
+    /** Terminal states may have been missed: state derived from them must be read again. */
     void jobEndsMissed();
   }
 
-  /** A job's team, and the revision of the key that tells of the job. */
+  /** A job's team, and the revision of the key that announces the job. */
   public record NewJob(String team, long revision) {}
 
   /**
@@ -73,7 +76,7 @@
   private final AssignmentReconciler reconciler;
   private Listener listener;
 
-  /** Makes a controller that has not joined; {@link #start} begins to. */
+  /** Creates an instance that has not joined; {@link #start} begins to join. */
   public Cluster(EventLoop loop, Settings settings, StoreClient store, AuditLog audit) {
     this.loop = loop;
     membership = new SessionMembership(loop, settings, store, new MembershipHandler());
@@ -90,7 +93,7 @@
         new AssignmentReconciler(loop, settings.facts(), election, members, map, pending, writer);
   }
 
-  /** Joins the cluster and begins to watch the store; called once. */
+  /** Begins to join the cluster and to watch the store; called once. */
   public void start(Listener clusterListener) {
     listener = clusterListener;
     membership.join();
@@ -99,54 +102,55 @@
     loop.every(ClusterConstants.LEADER_CHECK_MS, reconciler::reconcile);
   }
 
-  /** This controller's incarnation id, {@code label#number}, or an empty text before the first. */
+  /** Returns this controller's incarnation id, {@code label#number}, or "" before the first. */
   public String incarnationId() {
     return membership.incarnationIdOrEmpty();
   }
 
-  /** This controller's incarnation number, or 0 before the first. */
+  /** Returns this controller's incarnation number, or 0 before the first. */
   public long incarnationNumber() {
     return membership.incarnationNumber();
   }
 
-  /** The label of the controller of which this is an incarnation. */
+  /** Returns the label of the controller that has this incarnation id. */
   public static String labelOf(String incarnationId) {
     return IncarnationIds.labelOf(incarnationId);
   }
 
-  /** Whether the owner is an incarnation of the controller with this label. */
+  /** Returns whether the owner is an incarnation of the controller with this label. */
   public static boolean isIncarnationOf(String ownerId, String label) {
     return IncarnationIds.isIncarnationOf(ownerId, label);
   }
 
   /**
-   * Whether this controller may start work and act for what it owns, until the loop's next call.
+   * Returns whether this controller may start work and act as an owner; holds until the current
+   * callback of the event loop returns.
    */
   public boolean sessionLeaseValid() {
     return membership.leaseValid();
   }
 
-  /** Whether this controller leads, under a valid session lease. */
+  /** Returns whether this controller is the leader and its session lease is valid. */
   public boolean isLeader() {
     return election.isLeader();
   }
 
-  /** The leader's label, or an empty text when there is none. */
+  /** Returns the leader's label, or "" if there is no leader. */
   public String leaderLabel() {
     return election.leaderLabel();
   }
 
-  /** The teams of the assignment map, as known here. */
+  /** Returns the teams of the local copy of the assignment map. */
   public Teams teams() {
     return map.teams();
   }
 
-  /** The machines of the assignment map, as known here. */
+  /** Returns the machines of the local copy of the assignment map. */
   public Machines machines() {
     return map.machines();
   }
 
-  /** Whether the assignment map was read from the store since the start. */
+  /** Returns whether the assignment map was read from the store since the start. */
   public boolean assignmentMapLoaded() {
     return mapWatch.loaded();
   }
@@ -166,36 +170,41 @@
     return map.machines().revision();
   }
 
-  /** Jobs that were stored for their team's owner and not taken up yet, by id; a view. */
+  /**
+   * Returns a view, by id, of the jobs that were stored for their team's owner and not yet loaded
+   * by it.
+   */
   public Map<String, NewJob> newJobs() {
     return newJobs.jobs();
   }
 
-  /** The key that tells a team's owner of a job that was stored for it. */
+  /** Returns the key that announces a stored job to its team's owner. */
   public static String newJobKey(String job) {
     return ClusterKeys.NEW_JOBS + job;
   }
 
-  /** A sorted copy of the members' incarnation ids. */
+  /** Returns a sorted copy of the members' incarnation ids. */
   public Set<String> memberIds() {
     return members.sortedIds();
   }
 
-  /** The revisions of the assignment map to advertise to the peers. Called once a heartbeat. */
+  /**
+   * Returns the revisions of the assignment map to advertise to the peers. Called once a heartbeat.
+   */
   public AssignmentRevisions assignmentRevisions() {
     return exchange.advertise();
   }
 
   /**
-   * What a peer with these revisions lacks of the assignment map, or null when it lacks nothing.
+   * Returns the part of the assignment map that a peer with these revisions lacks, or null if none.
    */
   public AssignmentUpdate missingFrom(AssignmentRevisions peerRevisions) {
     return exchange.missingFrom(peerRevisions).orElse(null);
   }
 
   /**
-   * Takes what is newer in a peer's update. It makes a controller that is cut off from the store
-   * give up what another owns by now.
+   * Applies what is newer in a peer's update. So a controller that is cut off from the store gives
+   * up what another controller owns by now.
    */
   public void applyUpdate(AssignmentUpdate update) {
     if (exchange.apply(update)) {
@@ -203,25 +212,26 @@
     }
   }
 
-  /** An id for a provision request that nobody used before. */
+  /** Returns a unique id for a provision request. */
   public String newProvisionRequestId() {
     return membership.newRequestId();
   }
 
-  /** Asks the leader, which this controller is, to add a machine, or the address of a known one. */
+  /** Adds a machine, or the address of a known one. Called on the leader. */
   public void addMachine(NewMachine machine) {
     pending.addMachine(machine);
   }
 
   /**
    * Removes a machine whose decommission was confirmed, or that stopped on its own. Tasks that were
-   * on it start elsewhere once it has left the map, so with {@code heldTasks} it leaves at once.
+   * on it start elsewhere only after the map no longer holds it, so with {@code heldTasks} it is
+   * removed at once.
    */
   public void removeMachine(String name, boolean heldTasks) {
     pending.removeMachine(name, heldTasks);
   }
 
-  /** Machines that are provisioned and not in the assignment map yet. */
+  /** Returns the machines that are provisioned and not yet in the assignment map. */
   public Collection<NewMachine> machinesBeingAdded() {
     return pending.additionsNotInMap();
   }
@@ -231,12 +241,15 @@
     pending.moveMachine(name, newOwner);
   }
 
-  /** The team's owner of this generation no longer acts for it. */
+  /** Records that the team's owner of this generation no longer acts for it. */
   public void teamHandedOver(String team, long generation) {
     pending.markHandedOver(team, generation);
   }
 
-  /** Teams whose owner is to hand them over, with that owner; empty unless this one leads. */
+  /**
+   * Returns the teams whose owner is to hand them over, with that owner; empty unless this
+   * controller leads.
+   */
   public Map<String, TeamAssignment> teamsToHandOver() {
     Map<String, TeamAssignment> handovers = new TreeMap<>();
     reconciler.teamToHandOver().ifPresent(team -> handovers.put(team, map.teams().of().get(team)));
--- a/src/main/java/org/sandford/cluster/LeaderElection.java
+++ b/src/main/java/org/sandford/cluster/LeaderElection.java
@@ -16,10 +16,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leader election by one key on the leader's session lease. Whoever writes it, on the condition
- * that it is as it was seen, leads until the key is gone or its session lease expires; every write
- * of the assignment map has the key's revision as a condition, so a former leader's writes fail.
- * Runs on the event loop.
+ * Elects the leader by compare-and-swap of one key that carries the leader's session lease. The
+ * controller that writes the key leads until the key is removed or its session lease expires. Every
+ * write of the assignment map has the key's revision as a condition, so a former leader's writes
+ * fail. Runs on the event loop.
  */
 final class LeaderElection {
   private static final Logger log = LoggerFactory.getLogger(LeaderElection.class);
@@ -38,9 +38,9 @@
   private boolean campaigning;
 
   /**
-   * Makes an election that waits.
+   * Creates an election that waits for {@link #campaign}.
    *
-   * @param leaderKeyRead whether the store was read, so that no leader means that there is none
+   * @param leaderKeyRead whether the key was read, so that an empty leader means that there is none
    * @param onElected runs when this controller has become the leader
    */
   LeaderElection(
@@ -58,39 +58,39 @@
     this.onElected = onElected;
   }
 
-  /** Whether this controller leads, under a valid session lease. */
+  /** Returns whether this controller is the leader and its session lease is valid. */
   boolean isLeader() {
     return membership.leaseValid()
         && leader.isPresent()
         && membership.isOwnIncarnation(leader.get().incarnationId);
   }
 
-  /** The leader's incarnation id; only while there is a leader. */
+  /** Returns the leader's incarnation id; only while there is a leader. */
   String leaderId() {
     return leader.orElseThrow().incarnationId;
   }
 
-  /** The leader's label, or an empty text when there is none. */
+  /** Returns the leader's label, or "" if there is no leader. */
   String leaderLabel() {
     return leader.isPresent() ? leader.get().label : "";
   }
 
-  /** The revision of the leader's key, which is 0 while there is none. */
+  /** Returns the revision of the leader's key, or 0 if there is no leader. */
   long leaderRevision() {
     return leader.isPresent() ? leader.get().revision : 0;
   }
 
-  /** Nanoseconds since the leader's key was last told of. */
+  /** Returns the nanoseconds since the leader's key last changed as seen here. */
   long nanosSinceLeaderChange() {
     return loop.nanos() - leaderChangedAt;
   }
 
-  /** Forgets the leader; the store is about to be read anew. */
+  /** Forgets the leader before the keys of a new listing are applied. */
   void forgetLeader() {
     leader = Optional.empty();
   }
 
-  /** The leader's key changed. */
+  /** Applies a change of the leader's key. */
   void apply(KeyChange change) {
     if (change.revision() < leaderRevision()) {
       return;
@@ -107,7 +107,9 @@
     return new Leader(id, IncarnationIds.labelOf(id), entry.revision());
   }
 
-  /** Stands for election where there is no leader, or a former incarnation of this controller. */
+  /**
+   * Tries to become leader if there is no leader or it is a former incarnation of this controller.
+   */
   void campaign() {
     if (campaigning || !membership.leaseValid() || !leaderKeyRead.getAsBoolean()) {
       return;
@@ -126,7 +128,7 @@
         result -> {
           campaigning = false;
           if (result.outcome() != Outcome.APPLIED) {
-            // The watch tells who won; where nobody did, the next campaign tries again.
+            // The watch reports the winner; if there is none, the next campaign tries again.
             log.debug("leader election not won outcome={}", result.outcome());
           } else if (membership.isOwnIncarnation(candidate)) {
             apply(
--- a/src/main/java/org/sandford/cluster/MachineAssignmentPlanner.java
+++ b/src/main/java/org/sandford/cluster/MachineAssignmentPlanner.java
@@ -19,24 +19,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Plans one change of the machines in the assignment map: the pending changes, and an owner for
- * each machine whose owner is no longer a member. Pure, and made anew for each plan. One plan fits
- * into one transaction; what does not fit is planned again after it.
+ * Plans one change of the machines in the assignment map: applies the pending changes and assigns
+ * an owner to each machine whose owner is no longer a member. Has no side effects but logging; each
+ * plan takes a new instance. One plan fits into one transaction; the rest is planned after that
+ * transaction.
  *
  * <p>A partition that exceeds the store's value limit, because it was written under a larger one,
- * is split. Its machines are first copied to partitions with higher numbers, which take precedence
- * over lower ones, and leave it once all copies that it needs are stored.
+ * is split. Its excess machines are first copied to partitions with higher numbers, which take
+ * precedence over lower ones, and are removed from it once all of these copies are stored.
  */
 final class MachineAssignmentPlanner {
   private static final Logger log = LoggerFactory.getLogger(MachineAssignmentPlanner.class);
 
-  /** Operations of a transaction that the head of the machines and the teams may need. */
+  /** Operations of a transaction reserved for the machines' head and the teams. */
   private static final int RESERVED_OPS = 2;
 
   /**
    * The changes to plan.
    *
-   * @param additions machines to add, or known ones of which the address is new
+   * @param additions machines to add, or known machines with a new address
    * @param removals names of the machines to remove
    * @param moves the requested owner by machine
    */
@@ -47,7 +48,7 @@
    * The partitions to write.
    *
    * @param lastGeneration the last generation that was assigned
-   * @param changed the partitions by number, each with the revision that it replaces
+   * @param changed the changed partitions by number, each with the revision that it replaces
    */
   record Plan(long lastGeneration, Map<Integer, Partition> changed) {}
 
@@ -56,14 +57,14 @@
   private final Set<String> liveMembers;
   private final Map<Integer, Map<String, MachineAssignment>> drafts = new TreeMap<>();
 
-  /** The partition that counts for each machine: of two that hold it, the higher number. */
+  /** The authoritative partition of each machine: the highest number of those that hold it. */
   private final Map<String, Integer> partitionOfMachine = new HashMap<>();
 
   private final Map<Integer, Integer> machinesPerPartition = new TreeMap<>();
   private final ShardSizes shardSizes = new ShardSizes();
   private final Set<String> removed = new TreeSet<>();
 
-  /** Partitions that stay too large in this plan: copies of their machines are written first. */
+  /** Partitions that this plan leaves too large: copies of their machines must be stored first. */
   private final Set<Integer> splitting = new TreeSet<>();
 
   private long lastGeneration;
@@ -98,7 +99,8 @@
 
   private void remove(String name) {
     Integer number = partitionOfMachine.get(name);
-    // While a partition that is being split holds an older copy, a removal would restore that.
+    // While a partition that is being split still holds an older copy, removing the newer one would
+    // restore it.
     if (number != null && !hasOlderCopy(name, number)) {
       draft(number).remove(name);
       removed.add(name);
@@ -136,8 +138,9 @@
   }
 
   /**
-   * The partition with the most free space, or a new one when all are full. Machines that are
-   * provisioned together start and are decommissioned together, and so change few partitions.
+   * Returns the partition with the fewest machines, or a new one when all are full. Machines that
+   * are provisioned together thus mostly share partitions; they also start and are decommissioned
+   * together, which then changes few partitions.
    */
   private int partitionWithMostSpace() {
     int emptiest = 0;
@@ -163,7 +166,7 @@
     Map<String, MachineAssignment> remaining = draft(number);
     remaining.keySet().removeIf(name -> partitionOfMachine.get(name) != number);
     List<String> moving = new ArrayList<>(remaining.keySet());
-    // Machines without an owner go first: their new owner can be written at once.
+    // Machines without an owner are moved first: their new owner can be written at once.
     moving.sort(
         (a, b) ->
             Boolean.compare(
@@ -182,13 +185,14 @@
       moved = end;
     }
     if (moved < excess) {
-      // The other copies follow with the next transactions; until then the partition stays.
+      // The remaining copies follow in later transactions; until then the partition stays
+      // unchanged.
       drafts.remove(number);
       splitting.add(number);
     }
   }
 
-  /** Higher than all others, so that its copies count before what they are copied from. */
+  /** Returns a number above all others, so that copies take precedence over their originals. */
   private int nextPartitionNumber() {
     return machinesPerPartition.keySet().stream().mapToInt(Integer::intValue).max().orElse(-1) + 1;
   }
@@ -226,14 +230,14 @@
         : shardSizes.leastLoaded(liveMembers, machine.zone());
   }
 
-  /** Whether an owner was requested at all that is a member. */
+  /** Returns whether an owner was requested and is a member. */
   private boolean isMember(String requestedOwner) {
     return requestedOwner != null && liveMembers.contains(requestedOwner);
   }
 
   /**
-   * The partitions that differ from what is stored, as many as one transaction takes; new ones,
-   * which hold copies, come first.
+   * Returns the partitions that differ from the stored ones, as many as fit into one transaction.
+   * New partitions come first because they hold copies.
    */
   private Map<Integer, Partition> partitionsForOneTransaction() {
     Map<Integer, Partition> changed = new TreeMap<>();
@@ -269,8 +273,8 @@
   }
 
   /**
-   * Whether each machine that leaves the partition is removed, or is stored in another partition by
-   * the end of this transaction.
+   * Returns whether each machine dropped from the partition is being removed, or is stored in
+   * another partition by the end of this transaction.
    */
   private boolean losesNoMachine(
       int number, Map<String, MachineAssignment> draft, Map<Integer, Partition> changed) {
--- a/src/main/java/org/sandford/cluster/SessionMembership.java
+++ b/src/main/java/org/sandford/cluster/SessionMembership.java
@@ -23,27 +23,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's session in the cluster: it takes an incarnation number from the store, acquires
- * a session lease, writes the membership key on it, and renews the lease. Whatever is lost, it
- * begins again with a new incarnation.
+ * Maintains this controller's session in the cluster: registers the next incarnation number in the
+ * store, acquires a session lease, writes the membership key with it, and renews the lease. When
+ * any of these is lost, it begins again with a new incarnation.
  *
- * <p>While {@link #leaseValid()} no other controller can have taken over what this one owns: the
- * store removes the membership key only after the lease, whose end is counted here from before the
- * request for it left. Runs on the event loop.
+ * <p>While {@link #leaseValid()}, no other controller can have taken over what this one owns: the
+ * store removes the membership key only when the lease expires, and the lease's term is counted
+ * here from before its request was sent. Runs on the event loop.
  */
 final class SessionMembership {
   private static final Logger log = LoggerFactory.getLogger(SessionMembership.class);
   private static final String NUMBER_FIELD = "n";
 
-  /** The steps to membership, in this order; any loss leads back to the first. */
+  /** The steps to membership, in this order; any failure leads back to the first. */
   enum State {
-    /** No incarnation number of this attempt yet. */
+    /** This attempt has not registered an incarnation number yet. */
     UNREGISTERED,
-    /** The incarnation number is stored; a session lease is requested. */
+    /** The incarnation number is stored; a session lease is being requested. */
     REGISTERED,
     /** The session lease was granted; the membership key is being written. */
     LEASED,
-    /** The membership key stands on the session lease. */
+    /** The membership key is stored with the session lease. */
     MEMBER;
 
     boolean mayFollow(State previous) {
@@ -61,7 +61,7 @@
     /** The membership key was written for this incarnation. */
     void joined(String incarnationId);
 
-    /** The session lease is valid again, or lost. */
+    /** The session lease became valid again or was lost. */
     void leaseChanged();
   }
 
@@ -77,18 +77,18 @@
   private final StoreClient store;
   private final Listener listener;
 
-  /** Callbacks of one attempt to join, and of the membership that it led to. */
+  /** Guards the callbacks of one attempt to join and of the resulting membership. */
   private final CallbackGuard joinAttempts = new CallbackGuard();
 
   private State state = State.UNREGISTERED;
   private Optional<Incarnation> incarnation = Optional.empty();
 
-  /** Meaningful from {@link State#LEASED} on. */
+  /** Valid from {@link State#LEASED} on. */
   private long leaseId;
 
   private long leaseExpiresAt;
 
-  /** The store's revision of the membership key; meaningful as {@link State#MEMBER}. */
+  /** The store's revision of the membership key; valid in {@link State#MEMBER}. */
   private long memberRevision;
 
   private long lastRequestNumber;
@@ -101,19 +101,19 @@
   }
 
   /**
-   * The latest registered incarnation's id, which stays while the controller joins again; empty
+   * Returns the latest registered incarnation's id, also while the controller joins again; ""
    * before the first.
    */
   String incarnationIdOrEmpty() {
     return incarnation.isPresent() ? incarnation.get().id : "";
   }
 
-  /** The latest registered incarnation's number, or 0 before the first. */
+  /** Returns the latest registered incarnation's number, or 0 before the first. */
   long incarnationNumber() {
     return incarnation.isPresent() ? incarnation.get().number : 0;
   }
 
-  /** Whether the id is of the latest registered incarnation. */
+  /** Returns whether the id is that of the latest registered incarnation. */
   boolean isOwnIncarnation(String incarnationId) {
     return incarnation.isPresent() && incarnation.get().id.equals(incarnationId);
   }
@@ -122,22 +122,27 @@
     return settings.label();
   }
 
-  /** Whether this controller may act as owner or leader until the next call of the event loop. */
+  /**
+   * Returns whether this controller may act as owner or leader; holds until the current callback of
+   * the event loop returns.
+   */
   boolean leaseValid() {
     return state == State.MEMBER && loop.nanos() < leaseExpiresAt;
   }
 
-  /** The session lease's id in the store; only while {@link #leaseValid()}. */
+  /** Returns the session lease's id in the store; only while {@link #leaseValid()}. */
   long leaseId() {
     return leaseId;
   }
 
-  /** An id for a request outside the store that nobody used before. */
+  /** Returns a unique id for a request to a system other than the store. */
   String newRequestId() {
     return IncarnationIds.requestId(incarnationIdOrEmpty(), ++lastRequestNumber);
   }
 
-  /** Begins to join, with a new incarnation; callbacks of a former attempt do nothing any more. */
+  /**
+   * Begins to join with a new incarnation; callbacks of earlier attempts are ignored from now on.
+   */
   void join() {
     joinAttempts.beginAttempt();
     transitionTo(State.UNREGISTERED);
@@ -146,9 +151,9 @@
   }
 
   /**
-   * The membership key of this controller changed. A write of a former incarnation that the store
-   * applied late takes the key's place and removes the key with its own lease: the key is written
-   * anew.
+   * Handles a change of this controller's membership key. If the store applies a former
+   * incarnation's write late, that write replaces the key, and the key is removed with the former
+   * lease; the controller then joins again.
    */
   void memberKeyChanged(KeyChange change) {
     boolean ownValue =
@@ -195,7 +200,7 @@
   }
 
   private void onIncarnationRegistered(long number, TransactionResult result) {
-    // An unknown outcome may have used the number up: the next attempt reads a higher one.
+    // With an unknown outcome the number may be taken: the next attempt reads the key again.
     if (result.outcome() != Outcome.APPLIED) {
       joinAgainSoon();
       return;
@@ -228,7 +233,7 @@
     writeMemberKey(incarnation.orElseThrow());
   }
 
-  /** A lease is counted from before its request left, on a clock that may be slow. */
+  /** Counts the lease's term from before its request was sent, on a clock that may be slow. */
   private static long leaseExpiry(long sentAt) {
     double usableMs =
         ClusterConstants.SESSION_LEASE_TTL_MS * (1 - TimeConstants.CLOCK_DRIFT)
@@ -237,8 +242,8 @@
   }
 
   private void writeMemberKey(Incarnation registered) {
-    // On the condition that no later incarnation is registered: applied late, this write would
-    // take that one's key away.
+    // The condition makes the write fail once a later incarnation is registered: applied late, it
+    // would replace that incarnation's key.
     store.transact(
         Map.of(incarnationKey(), registered.revision),
         List.of(
--- a/src/main/java/org/sandford/cluster/TeamAssignmentPlanner.java
+++ b/src/main/java/org/sandford/cluster/TeamAssignmentPlanner.java
@@ -13,21 +13,21 @@
 import org.sandford.cluster.AssignmentMap.Teams;
 
 /**
- * Plans the teams' owners: every team gets one that is a member, and no member has two teams more
- * than another. Pure, and made anew for each plan.
+ * Plans the teams' owners: assigns every team to a member and selects teams to hand over, so that
+ * no member has two teams more than another. Has no side effects; each plan takes a new instance.
  */
 final class TeamAssignmentPlanner {
-  /** A difference between two members' numbers of teams that a handover makes smaller. */
+  /** The smallest difference between two members' numbers of teams that a handover reduces. */
   private static final int MIN_HANDOVER_DIFFERENCE = 2;
 
   private final Teams teams;
   private final Predicate<String> handedOver;
 
-  /** The teams that each member owns and keeps. */
+  /** The teams that each member keeps or is given. */
   private final Map<String, List<String>> teamsByOwner = new TreeMap<>();
 
   /**
-   * Makes a planner.
+   * Creates a planner.
    *
    * @param memberIds the members' incarnation ids
    * @param handedOver whether a team's owner no longer acts for it
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Gives an owner to each team without one, each time the member with the fewest teams. The result
-   * is the planner's own teams when nothing changes; it may be called once.
+   * Assigns each team without an owner to the member with the fewest teams. Returns the given teams
+   * unchanged if nothing changes. May be called once.
    */
   Teams plan(Set<String> configuredTeams) {
     Map<String, TeamAssignment> assignments = new TreeMap<>(teams.of());
@@ -75,7 +75,10 @@
     return changed ? new Teams(teams.revision(), lastGeneration, assignments) : teams;
   }
 
-  /** The member with the fewest teams; not the one that handed it over, unless it is alone. */
+  /**
+   * Returns the member with the fewest teams, but not the team's former owner unless it is the only
+   * member.
+   */
   private Optional<String> nextOwner(TeamAssignment current) {
     String leastLoaded = null;
     for (Map.Entry<String, List<String>> candidate : teamsByOwner.entrySet()) {
@@ -90,7 +93,7 @@
     return Optional.ofNullable(leastLoaded);
   }
 
-  /** A team whose owner has too many, if there is one: its owner is to hand it over. */
+  /** Returns a team to hand over, if the member with the most teams has too many. */
   Optional<String> teamToHandOver() {
     int mostTeams = 0;
     int fewestTeams = Integer.MAX_VALUE;
