--- a/src/main/java/org/sandford/cancel/Cancellations.java
+++ b/src/main/java/org/sandford/cancel/Cancellations.java
@@ -17,64 +17,70 @@
 import org.sandford.settings.Settings;
 
 /**
- * The bound on a cancelled job's tasks, and the one place that decides by it whether a worker's
- * lease may be renewed. Runs on the event loop.
+ * Bounds how long the tasks of a cancelled job can still run: the only class that decides whether a
+ * worker's lease may be renewed. Runs on the event loop.
  *
- * <p>Every cancellation that was confirmed to a user before some moment is known here, and its
- * tasks are stopped. One that was confirmed later may be unknown; its tasks end with their worker's
- * lease, which is never renewed later than {@code cancel_s - lease_s - margin} after that moment.
- * So they have ended within {@code cancel_s} of the confirmation, whoever is unreachable from here.
+ * <p>This controller knows every cancellation that was confirmed to a user before a certain moment,
+ * and stops the tasks of those jobs. It may not know later ones; their tasks end with their
+ * worker's lease, which is never renewed later than {@code cancel_s - lease_s - margin} after that
+ * moment. So they end within {@code cancel_s} of the confirmation, whatever is unreachable from
+ * here.
  *
- * <p>There are two ways to know. The store's watches cover what the store held when they were
- * opened. And each controller keeps a log of the cancellations that it confirmed, which the others
- * request: when all have responded, nothing is missing, also while the store is unavailable. A
- * response counts only if the assignment map is as new here as it was there, so that nobody renews
- * the leases of machines that another controller owns by then.
+ * <p>The moment follows from either of two sources. The store's watches cover what the store held
+ * when they were opened. And each controller keeps a log of the cancellations that it confirmed,
+ * which the others request: once all have responded, none is missing, even while the store is
+ * unavailable. A response counts only if the local assignment map is at least as new as the
+ * responder's, so that no controller renews the leases of machines that another one owns by then.
  */
 public final class Cancellations {
   /** Notified on the event loop. */
   public interface Listener {
-    /** Another controller has confirmed the cancellation; the job's terminal state is stored. */
+    /** Another controller confirms the cancellation; the job's terminal state is stored. */
     void cancelled(String job);
   }
 
   /** Sends messages to the other controllers. */
   public interface Peers {
-    /** Sends to one controller; returns false when there is no link to it. */
+    /** Sends to one controller; returns false if there is no link to it. */
     boolean request(String label, Object message);
 
     /** Sends to all controllers to which there is a link. */
     void requestAll(Object message);
   }
 
-  /** What is known here of the store. */
+  /** Reports how current this controller's view of the store is. */
   public interface Store {
-    /** What the store held at this moment is known here: assignment map and terminal states. */
+    /**
+     * Returns the moment up to which the store's assignment map and terminal states are known here.
+     */
     MonotonicTime freshAt();
 
-    /** Terminal states that were stored before this moment may be unknown here. */
+    /**
+     * Returns the moment before which terminal states may have been stored that are unknown here.
+     */
     MonotonicTime terminalStatesCompleteSince();
 
-    /** The machines' revision in the assignment map as it is known here. */
+    /** Returns the machines' revision in the local copy of the assignment map. */
     long machinesRevision();
   }
 
-  /** What is known here of one other controller's log of confirmed cancellations. */
+  /** The known part of one other controller's log of confirmed cancellations. */
   private static final class PeerLog {
     private String incarnationId = "";
 
-    /** The cancellations of this incarnation up to this number are known here. */
+    /** All cancellations of this incarnation up to this number are known here. */
     private long receivedUpTo;
 
     /**
-     * What the peer's former incarnations confirmed is known once the store was read after this.
+     * When this incarnation, or a gap in its log, was first seen. What was confirmed before is
+     * known once the store was read after this moment.
      */
     private MonotonicTime incarnationFirstSeenAt = MonotonicTime.NEVER;
 
-    /** What this incarnation confirmed before this moment is known here. */
+    /** All that this incarnation confirmed before this moment is known here. */
     private MonotonicTime coveredUntil = MonotonicTime.NEVER;
 
-    /** What all former incarnations confirmed before this moment is known here. */
+    /** All that former incarnations confirmed before this moment is known here. */
     private MonotonicTime formerIncarnationsCoveredUntil = MonotonicTime.NEVER;
 
     MonotonicTime coveredUntil(MonotonicTime storeFreshAt) {
@@ -83,7 +89,10 @@
           : coveredUntil;
     }
 
-    /** Another incarnation, or a log that lost its beginning: the store tells what went before. */
+    /**
+     * Returns whether the response is of another incarnation, or of a log that lost its beginning:
+     * what went before is only in the store.
+     */
     boolean hasGapBefore(CancellationsResponse response) {
       return !response.incarnation.equals(incarnationId) || response.since > receivedUpTo;
     }
@@ -115,9 +124,9 @@
   private Listener listener;
 
   /**
-   * Makes the bound; {@link #start} begins the exchange with the peers.
+   * Creates an instance; {@link #start} begins the exchange with the peers.
    *
-   * @param incarnationId this controller's incarnation id, or an empty text before the first
+   * @param incarnationId returns this controller's incarnation id, or "" before the first
    */
   public Cancellations(
       EventLoop loop, Settings settings, Peers peers, Store store, Supplier<String> incarnationId) {
@@ -137,7 +146,7 @@
   }
 
   /**
-   * Whether the lease of a worker may be renewed now.
+   * Returns whether the lease of a worker may be renewed now.
    *
    * @param jobsKnown whether the jobs of all its tasks were looked up
    */
@@ -151,19 +160,22 @@
     if (!knowsCancellationsOlderThan(nanos(graceS), now)) {
       return false;
     }
-    // A task that was not looked up may be of a job that was cancelled before this controller
-    // started: the bound that other controllers kept ends it within cancel_s.
+    // A task whose job was not looked up may be of a job that was cancelled before this controller
+    // started. The other controllers applied the same bound, so such a task ends within cancel_s.
     double boundS = facts.cancelS() * (1 + TimeConstants.CLOCK_DRIFT) + TimeConstants.KILL_MARGIN_S;
     return jobsKnown || store.terminalStatesCompleteSince().isOlderThan(nanos(boundS), now);
   }
 
-  /** Whether every cancellation is known here that anybody confirmed so long ago. */
+  /**
+   * Returns whether every cancellation that any controller confirmed at least this long ago is
+   * known here.
+   */
   private boolean knowsCancellationsOlderThan(long graceNanos, long now) {
     MonotonicTime storeFreshAt = store.freshAt();
     if (storeFreshAt.isYoungerThan(graceNanos, now)) {
       return true;
     }
-    // What was confirmed before the start stands only in the store.
+    // Cancellations confirmed before this controller started are only in the store.
     if (storeFreshAt.isBefore(createdAt)) {
       return false;
     }
@@ -180,8 +192,8 @@
   }
 
   /**
-   * A cancellation is about to be confirmed to a user: it is logged, and the other controllers are
-   * notified at once.
+   * Logs a cancellation that is about to be confirmed to a user and notifies the other controllers
+   * at once.
    */
   public void confirmed(String job) {
     if (!confirmedJobs.add(job)) {
@@ -204,8 +216,8 @@
   }
 
   /**
-   * Responds to another controller's request with what it lacks of this controller's log. The
-   * response covers all that was confirmed before it; null before the first incarnation.
+   * Returns the part of this controller's log that the requester lacks, or null before the first
+   * incarnation. The response covers all that was confirmed before it.
    */
   public CancellationsResponse handleRequest(CancellationsRequest request) {
     String ownIncarnation = incarnationId.get();
@@ -217,7 +229,7 @@
         ownIncarnation.equals(request.incarnation)
             ? Math.max(request.seen, discardedCount)
             : discardedCount;
-    // Nearly always nothing is lacking, and each controller asks with every heartbeat.
+    // Each controller sends a request every heartbeat and nearly always lacks nothing.
     List<String> jobs =
         since == confirmedCount
             ? List.of()
@@ -226,7 +238,7 @@
         request.sentAt, ownIncarnation, since, confirmedCount, jobs, store.machinesRevision());
   }
 
-  /** Takes another controller's response; the cancellations in it are passed to the listener. */
+  /** Handles another controller's response and passes its cancellations to the listener. */
   public void handleResponse(String peerLabel, CancellationsResponse response) {
     PeerLog peerLog = peerLogs.get(peerLabel);
     if (peerLog == null) {
@@ -243,7 +255,7 @@
     }
   }
 
-  /** Another controller is about to confirm a cancellation to a user. */
+  /** Handles the notice that another controller is about to confirm a cancellation to a user. */
   public void handleNotification(JobCancelled message) {
     listener.cancelled(message.job);
   }
--- a/src/main/java/org/sandford/cluster/AssignmentMap.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMap.java
@@ -6,13 +6,13 @@
 import java.util.TreeMap;
 
 /**
- * The assignment map: who owns which team and which machine, each with the generation of its last
- * change of owner. The values are immutable, so that any thread may read them.
+ * The assignment map: the owner of each team and machine, with the generation of the last change of
+ * owner. The values are immutable, so any thread may read them.
  *
  * <p>The teams are one value in the store, whose revision is a condition of every record write. The
- * machines are divided into partitions, since a fleet exceeds what the store takes as one value;
- * each change of any partition also writes the head, so that changes of different partitions are
- * ordered. An owner is an incarnation of a controller, {@code label#number}.
+ * machines are divided into partitions, since a fleet exceeds the store's value limit. Each change
+ * of a partition also writes the head, so that changes of different partitions are ordered. An
+ * owner is an incarnation of a controller, {@code label#number}.
  */
 public final class AssignmentMap {
   private AssignmentMap() {}
@@ -25,10 +25,10 @@
   public record TeamAssignment(String owner, long generation) {}
 
   /**
-   * A machine's owner and what the cloud says of the machine. A task may be started on it only once
-   * the map holds its address; so a machine without an address never held a task.
+   * A machine's owner and its description by the cloud. A task may be started on it only once the
+   * map holds its address, so a machine without an address never held a task.
    *
-   * @param owner empty while no member was assigned
+   * @param owner empty until a member was assigned
    * @param generation grows with each change of any owner in the map; 0 before the first owner
    * @param address host and port of the worker agent, or empty while it is not known
    * @param kind the instance type
@@ -39,7 +39,7 @@
       return new MachineAssignment("", 0, address, kind, zone, spot);
     }
 
-    /** Whether the worker agent's address is known, and tasks may be started. */
+    /** Returns whether the worker agent's address is known, so that tasks may be started. */
     public boolean hasAddress() {
       return !address.isEmpty();
     }
@@ -65,7 +65,7 @@
   }
 
   /**
-   * Some of the machines, stored as one value.
+   * A part of the machines that is stored as one value.
    *
    * @param revision the store's revision; 0 before the first write
    * @param machines the assignments by machine
@@ -77,7 +77,8 @@
    *
    * @param revision the store's revision of the head; 0 before the first write
    * @param lastGeneration the last generation that was assigned
-   * @param partitions the partitions by number; of two that hold a machine the higher one counts
+   * @param partitions the partitions by number; if several hold a machine, the highest number takes
+   *     precedence
    * @param of the assignments by machine
    */
   public record Machines(
@@ -87,7 +88,7 @@
       Map<String, MachineAssignment> of) {
     static final Machines NONE = new Machines(0, 0, Map.of(), Map.of());
 
-    /** These machines with the head and the partitions replaced by those that are newer. */
+    /** Returns these machines with the head and the partitions replaced by any that are newer. */
     Machines withNewer(long headRevision, long headLastGeneration, Map<Integer, Partition> newer) {
       Map<Integer, Partition> mergedPartitions = new TreeMap<>(partitions);
       newer.forEach(
--- a/src/main/java/org/sandford/cluster/AssignmentMapCache.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapCache.java
@@ -10,8 +10,8 @@
 import org.sandford.store.StoreClient.Entry;
 
 /**
- * The assignment map as far as it is known here, from whatever source. Its revisions only grow:
- * what is older than what is known changes nothing. Runs on the event loop.
+ * Caches the assignment map as read from the store or received from a peer. Its revisions only
+ * grow: older values are ignored. Runs on the event loop.
  */
 final class AssignmentMapCache {
   private Teams teams = Teams.NONE;
@@ -25,7 +25,7 @@
     return machines;
   }
 
-  /** Takes these teams if they are newer; returns whether they are. */
+  /** Stores these teams if they are newer; returns whether they are. */
   boolean merge(Teams candidate) {
     if (candidate.revision() <= teams.revision()) {
       return false;
@@ -34,7 +34,7 @@
     return true;
   }
 
-  /** Takes the head and the partitions that are newer; returns whether any is. */
+  /** Stores the head and the partitions that are newer; returns whether any is. */
   boolean mergeMachines(
       long headRevision, long lastGeneration, Map<Integer, Partition> partitions) {
     boolean newer = headRevision > machines.revision();
@@ -48,7 +48,7 @@
     return newer;
   }
 
-  /** The teams' key changed. */
+  /** Applies a change of the teams' key. */
   void applyTeams(KeyChange change) {
     if (change instanceof Entry entry) {
       merge(AssignmentMapCodec.readTeams(entry.value(), entry.revision()));
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Takes the head and the partitions among these changes, all at once: each merge puts all
-   * machines together anew.
+   * Applies the head and the partitions among these changes in one merge, since each merge rebuilds
+   * the map of all machines.
    */
   void applyMachines(List<? extends KeyChange> changes) {
     long headRevision = 0;
--- a/src/main/java/org/sandford/cluster/AssignmentMapCodec.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapCodec.java
@@ -15,9 +15,9 @@
 import org.sandford.runtime.Json;
 
 /**
- * The stored form of the assignment map, which all versions of the program share. A partition names
- * each owner and each type of machine once, in a table, and refers to them by index: that keeps it
- * within the store's value limit.
+ * Encodes and decodes the stored form of the assignment map, which all versions of the program
+ * share. A partition holds each owner and each machine type once, in a table, and refers to them by
+ * index: that keeps it within the store's value limit.
  */
 final class AssignmentMapCodec {
   private static final String LAST_GENERATION = "n";
@@ -53,7 +53,7 @@
     return new Teams(revision, root.path(LAST_GENERATION).asLong(), teams);
   }
 
-  /** The value of the machines' head. */
+  /** Returns the value of the machines' head. */
   static ObjectNode machinesHead(long lastGeneration) {
     return Json.object().put(LAST_GENERATION, lastGeneration);
   }
@@ -111,7 +111,7 @@
         type[2].equals(SPOT));
   }
 
-  /** Texts in the order of their first use, each with its index. */
+  /** Strings in the order of their first use, each with its index. */
   private static final class StringTable {
     private final Map<String, Integer> indexes = new HashMap<>();
     private final ArrayNode texts = Json.array();
--- a/src/main/java/org/sandford/cluster/AssignmentMapExchange.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapExchange.java
@@ -14,13 +14,13 @@
 import org.sandford.runtime.Json;
 
 /**
- * Exchange of the assignment map between controllers: one that is cut off from the store learns
- * from the others that it was replaced. Runs on the event loop.
+ * Exchanges the assignment map between controllers, so that one that is cut off from the store
+ * learns from the others that it was replaced. Runs on the event loop.
  */
 final class AssignmentMapExchange {
   private final AssignmentMapCache map;
 
-  /** The revisions at the latest heartbeat, and at the one before. */
+  /** The revisions at the latest heartbeat and at the previous one. */
   private long advertisedTeamsRevision;
 
   private long advertisedMachinesRevision;
@@ -31,7 +31,7 @@
     this.map = map;
   }
 
-  /** The revisions to advertise to the peers. Called once a heartbeat. */
+  /** Returns the revisions to advertise to the peers. Called once a heartbeat. */
   AssignmentRevisions advertise() {
     previousTeamsRevision = advertisedTeamsRevision;
     previousMachinesRevision = advertisedMachinesRevision;
@@ -41,8 +41,9 @@
   }
 
   /**
-   * What a peer lacks of the map, if anything. Only what was known here a heartbeat ago counts: the
-   * peer's own watch is as quick, unless it is cut off from the store.
+   * Returns the part of the map that a peer lacks, if any. Only revisions that were known here a
+   * heartbeat ago are compared: a peer gets newer ones by its own watch, unless it is cut off from
+   * the store.
    */
   Optional<AssignmentUpdate> missingFrom(AssignmentRevisions peerRevisions) {
     boolean lacksTeams = peerRevisions.teamsRevision < previousTeamsRevision;
@@ -71,7 +72,7 @@
             newer));
   }
 
-  /** Takes what is newer in a peer's update; returns whether anything is. */
+  /** Applies what is newer in a peer's update; returns whether anything is. */
   boolean apply(AssignmentUpdate update) {
     boolean changed = false;
     if (update.teamsRevision > map.teams().revision()) {
--- a/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
@@ -27,7 +27,7 @@
 final class AssignmentMapWriter {
   /** Notified on the event loop when the next write may begin. */
   interface Listener {
-    /** A write was applied, and {@link AssignmentMapCache} shows it. */
+    /** A write was applied, and {@link AssignmentMapCache} contains it. */
     void written();
 
     /**
--- a/src/main/java/org/sandford/cluster/ClusterKeys.java
+++ b/src/main/java/org/sandford/cluster/ClusterKeys.java
@@ -1,18 +1,17 @@
 package org.sandford.cluster;
 
 /**
- * The store's keys of the cluster's own records. They are part of the stored form: never change.
+ * Keys of the cluster's own records in the store. They are part of the stored format and must never
+ * change.
  */
 final class ClusterKeys {
   /** Prefix of all keys of the cluster, watched as one. */
   static final String ROOT = "c/";
 
-  /**
-   * Prefix of the members' keys, followed by the controller's label; each is on a session lease.
-   */
+  /** Prefix of the members' keys, followed by the controller's label; each has a session lease. */
   static final String MEMBERS = "c/ctl/";
 
-  /** The leader's incarnation id, on its session lease. */
+  /** The leader's incarnation id, stored with its session lease. */
   static final String LEADER = "c/leader";
 
   /** The teams of the assignment map. */
@@ -24,7 +23,7 @@
   /** Prefix of the partitions of the assignment map's machines, followed by the number. */
   static final String PARTITIONS = "c/machines/";
 
-  /** Prefix of the keys that tell a team's owner of a new job, followed by the job's id. */
+  /** Prefix of the keys that announce a new job to its team's owner, followed by the job's id. */
   static final String NEW_JOBS = "c/new/";
 
   private ClusterKeys() {}
--- a/src/main/java/org/sandford/cluster/ClusterMembers.java
+++ b/src/main/java/org/sandford/cluster/ClusterMembers.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The controllers that are members of the cluster, by their keys in the store. Runs on the event
- * loop.
+ * Holds the controllers that are members of the cluster, as read from their keys in the store. Runs
+ * on the event loop.
  */
 final class ClusterMembers {
   private static final Logger log = LoggerFactory.getLogger(ClusterMembers.class);
@@ -24,12 +24,12 @@
     incarnationIdByLabel.clear();
   }
 
-  /** This controller has become a member; its watch tells the same later. */
+  /** Adds this controller, which has become a member; its watch reports the same later. */
   void joined(String label, String incarnationId) {
     incarnationIdByLabel.put(label, incarnationId);
   }
 
-  /** A member's key changed. */
+  /** Applies a change of a member's key. */
   void apply(String label, KeyChange change) {
     if (change instanceof Entry entry) {
       String id = IncarnationIds.read(entry.value());
@@ -52,12 +52,12 @@
     return incarnationIdByLabel.containsValue(incarnationId);
   }
 
-  /** The members' incarnation ids in the order of their labels; a view. */
+  /** Returns a view of the members' incarnation ids in the order of their labels. */
   Collection<String> ids() {
     return Collections.unmodifiableCollection(incarnationIdByLabel.values());
   }
 
-  /** A sorted copy of the members' incarnation ids. */
+  /** Returns a sorted copy of the members' incarnation ids. */
   Set<String> sortedIds() {
     return new TreeSet<>(incarnationIdByLabel.values());
   }
--- a/src/main/java/org/sandford/cluster/IncarnationIds.java
+++ b/src/main/java/org/sandford/cluster/IncarnationIds.java
@@ -5,8 +5,8 @@
 import org.sandford.runtime.Json;
 
 /**
- * Incarnation ids, {@code label#number}, and the stored form of the keys that hold one. A
- * controller has a new incarnation with each start, and each time that it joins anew.
+ * Formats and parses incarnation ids, {@code label#number}, and the values of keys that hold one. A
+ * controller gets a new incarnation with each start and each time that it joins again.
  */
 final class IncarnationIds {
   private static final char SEPARATOR = '#';
@@ -18,12 +18,12 @@
     return label + SEPARATOR + number;
   }
 
-  /** The value of a key that holds an incarnation id. */
+  /** Returns the value of a key that holds the incarnation id. */
   static ObjectNode toJson(String incarnationId) {
     return Json.object().put(ID_FIELD, incarnationId);
   }
 
-  /** The incarnation id in the value of a key that holds one. */
+  /** Returns the incarnation id in the value of a key that holds one. */
   static String read(JsonNode value) {
     return value.path(ID_FIELD).asText();
   }
@@ -33,7 +33,10 @@
     return separatorIndex < 0 ? incarnationId : incarnationId.substring(0, separatorIndex);
   }
 
-  /** Whether the id is of an incarnation of the controller with this label; makes no text. */
+  /**
+   * Returns whether the id is of an incarnation of the controller with this label; allocates
+   * nothing.
+   */
   static boolean isIncarnationOf(String incarnationId, String label) {
     int labelLength = label.length();
     return incarnationId.length() > labelLength
@@ -41,7 +44,9 @@
         && incarnationId.startsWith(label);
   }
 
-  /** A request id that no other incarnation uses, without the character that URLs reserve. */
+  /**
+   * Returns a request id that no other incarnation uses, without the separator, which URLs reserve.
+   */
   static String requestId(String incarnationId, long number) {
     return incarnationId.replace(SEPARATOR, '.') + "." + number;
   }
--- a/src/main/java/org/sandford/cluster/NewJobs.java
+++ b/src/main/java/org/sandford/cluster/NewJobs.java
@@ -9,8 +9,8 @@
 import org.sandford.store.StoreClient.Entry;
 
 /**
- * Jobs that any controller stored for their team's owner, which has not taken them up yet. Runs on
- * the event loop.
+ * Holds the jobs that any controller stored for their team's owner and that the owner has not
+ * loaded yet. Runs on the event loop.
  */
 final class NewJobs {
   private static final String TEAM_FIELD = "t";
@@ -20,15 +20,15 @@
   private final Map<String, NewJob> readOnlyJobs = Collections.unmodifiableMap(jobs);
 
   /**
-   * Makes an empty collection.
+   * Creates an empty collection.
    *
-   * @param onNewJob gets the id and the team of each job that is told of
+   * @param onNewJob receives the id and the team of each announced job
    */
   NewJobs(BiConsumer<String, String> onNewJob) {
     this.onNewJob = onNewJob;
   }
 
-  /** The jobs by id; a view. */
+  /** Returns a view of the jobs by id. */
   Map<String, NewJob> jobs() {
     return readOnlyJobs;
   }
@@ -37,7 +37,7 @@
     jobs.clear();
   }
 
-  /** The key that tells of the job changed. */
+  /** Applies a change of the key that announces the job. */
   void apply(String jobId, KeyChange change) {
     if (change instanceof Entry entry) {
       NewJob job = new NewJob(entry.value().path(TEAM_FIELD).asText(), entry.revision());
--- a/src/main/java/org/sandford/cluster/PendingChanges.java
+++ b/src/main/java/org/sandford/cluster/PendingChanges.java
@@ -13,8 +13,9 @@
 import org.sandford.cluster.Cluster.NewMachine;
 
 /**
- * Changes of the assignment map that the leader has been asked for and that the map does not show
- * yet. They are kept in memory only: a new leader is asked again. Runs on the event loop.
+ * Holds the changes that were requested from the leader and that the assignment map does not
+ * contain yet. They are kept in memory only: the requests are repeated to a new leader. Runs on the
+ * event loop.
  */
 final class PendingChanges {
   private final AssignmentMapCache map;
@@ -24,19 +25,19 @@
   private final Map<String, NewMachine> additions = new LinkedHashMap<>();
   private final Set<String> removals = new TreeSet<>();
 
-  /** Removals of machines whose tasks start elsewhere only after them; a subset of the removals. */
+  /** Removals of machines whose tasks start elsewhere only afterwards; a subset of the removals. */
   private final Set<String> urgentRemovals = new HashSet<>();
 
-  /** The requested owner of each machine that is to move. */
+  /** The requested owner by machine. */
   private final Map<String, String> moves = new LinkedHashMap<>();
 
-  /** The generation of each team under which its owner handed it over. */
+  /** The generation in which a team's owner handed it over, by team. */
   private final Map<String, Long> handedOverGenerations = new TreeMap<>();
 
   /**
-   * Makes an empty set of changes.
+   * Creates an empty set of changes.
    *
-   * @param onChange runs when a change was added that is worth a look at the map
+   * @param onChange runs when a change was added that requires a reconciliation
    */
   PendingChanges(AssignmentMapCache map, ClusterMembers members, Runnable onChange) {
     this.map = map;
@@ -58,7 +59,7 @@
   }
 
   /**
-   * Removes a machine.
+   * Requests the removal of a machine.
    *
    * @param urgent whether tasks wait for the removal
    */
@@ -80,12 +81,12 @@
     onChange.run();
   }
 
-  /** Adds moves, by machine, in the course of a reconciliation that takes them up itself. */
+  /** Adds moves that the current reconciliation planned itself, so it requests no other. */
   void moveMachines(Map<String, String> ownerByMachine) {
     moves.putAll(ownerByMachine);
   }
 
-  /** The team's owner of this generation no longer acts for it. */
+  /** Records that the team's owner of this generation no longer acts for it. */
   void markHandedOver(String team, long generation) {
     TeamAssignment current = map.teams().of().get(team);
     if (current != null && current.generation() == generation) {
@@ -100,34 +101,34 @@
     return current != null && generation != null && generation == current.generation();
   }
 
-  /** Whether a machine is to be added, removed or moved. */
+  /** Returns whether a machine is to be added, removed or moved. */
   boolean hasMachineChanges() {
     return !additions.isEmpty() || !removals.isEmpty() || !moves.isEmpty();
   }
 
-  /** Whether tasks wait for a machine's removal. */
+  /** Returns whether tasks wait for a machine's removal. */
   boolean hasUrgentRemovals() {
     return !urgentRemovals.isEmpty();
   }
 
-  /** All changes of machines; a view. */
+  /** Returns a view of all machine changes. */
   MachineAssignmentPlanner.Changes machineChanges() {
     return new MachineAssignmentPlanner.Changes(additions.values(), removals, moves);
   }
 
-  /** Only the removals that tasks wait for; a view. */
+  /** Returns a view of only the removals that tasks wait for. */
   MachineAssignmentPlanner.Changes urgentMachineChanges() {
     return new MachineAssignmentPlanner.Changes(List.of(), urgentRemovals, Map.of());
   }
 
-  /** Machines to be added that the map does not hold, in the order of the requests. */
+  /** Returns the machines to add that the map does not hold, in the order of the requests. */
   Collection<NewMachine> additionsNotInMap() {
     return additions.values().stream()
         .filter(addition -> !map.machines().of().containsKey(addition.name()))
         .toList();
   }
 
-  /** Drops what the map shows by now, and what can no longer be done. */
+  /** Drops the changes that the map contains by now and those that are no longer possible. */
   void dropCompleted() {
     additions.values().removeIf(this::isAdded);
     removals.removeIf(name -> !map.machines().of().containsKey(name));
--- a/src/main/java/org/sandford/cluster/PrefixWatch.java
+++ b/src/main/java/org/sandford/cluster/PrefixWatch.java
@@ -11,13 +11,13 @@
 import org.sandford.store.WatchResult;
 
 /**
- * Lists a prefix of the store and then watches it from the listing's revision on, for ever. When
- * the store no longer keeps the changes that are missing, the prefix is listed again; while it does
- * not answer, the request is repeated every {@link StoreConstants#STORE_RETRY_MS}. Runs on the
- * event loop.
+ * Lists a prefix of the store and then watches it from the listing's revision on, without end. If
+ * the store has compacted the changes that are missing here, the prefix is listed again. While the
+ * store does not answer, the request is repeated every {@link StoreConstants#STORE_RETRY_MS}. Runs
+ * on the event loop.
  */
 final class PrefixWatch {
-  /** Receives what was read, in the store's order. */
+  /** Receives the entries and changes in the store's order. */
   interface Handler {
     /** All keys were listed, at first and whenever changes were missed. */
     void listed(List<Entry> entries);
@@ -40,10 +40,10 @@
   private MonotonicTime freshAt = MonotonicTime.NEVER;
 
   /**
-   * Makes a watch that has not started.
+   * Creates a watch that has not started.
    *
-   * @param listedPrefix the prefix to list: the watched one, or an empty one where only changes
-   *     count
+   * @param listedPrefix the prefix to list: the watched one, or one without keys where only changes
+   *     matter
    */
   PrefixWatch(
       EventLoop loop,
@@ -58,17 +58,17 @@
     this.handler = handler;
   }
 
-  /** Whether the prefix was listed once. */
+  /** Returns whether the prefix was listed at least once. */
   boolean loaded() {
     return loaded;
   }
 
-  /** The store's revision up to which everything was handled; meaningful once loaded. */
+  /** Returns the store's revision up to which everything was handled; valid once loaded. */
   long revision() {
     return revision;
   }
 
-  /** What the store held at this moment was handled here. */
+  /** Returns the moment up to which the store's changes were handled here. */
   MonotonicTime freshAt() {
     return freshAt;
   }
--- a/src/main/java/org/sandford/cluster/RecordVersions.java
+++ b/src/main/java/org/sandford/cluster/RecordVersions.java
@@ -17,14 +17,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which version of stored records every configured controller knows. A controller announces its
- * version together with its incarnation, so the announcement outlives the process and is replaced
- * by whichever version starts next. Runs on the event loop.
+ * Determines which version of stored records every configured controller supports. A controller
+ * announces its version together with its incarnation, so the announcement outlives the process and
+ * is replaced when the controller starts again. Runs on the event loop.
  *
- * <p>A record that an older version would misread may be written only once all controllers, also
- * those that are down, have announced the version that knows it: one that dies before its upgrade
- * comes back with the old version. This cannot lock up: an upgrade starts each controller once with
- * the new version, and what it announced stays.
+ * <p>A record that an older version would misread may be written only once all controllers, even
+ * those that are down, have announced a version that supports it: a controller that stops before
+ * its upgrade would come back with the old version. This condition is always met in the end: an
+ * upgrade starts each controller once with the new version, and its announcement stays.
  */
 public final class RecordVersions {
   private static final Logger log = LoggerFactory.getLogger(RecordVersions.class);
@@ -40,7 +40,7 @@
   private final Set<String> controllerLabels = new HashSet<>();
   private boolean allKnowGangs;
 
-  /** Makes an instance that assumes the oldest version; {@link #start} begins to read. */
+  /** Creates an instance that assumes the oldest version; {@link #start} begins to read. */
   public RecordVersions(EventLoop loop, Settings settings, StoreClient store) {
     this.loop = loop;
     this.store = store;
@@ -48,19 +48,22 @@
     settings.others().forEach(other -> controllerLabels.add(other.label()));
   }
 
-  /** The record of an incarnation of this version; versions without gangs read its number alone. */
+  /**
+   * Returns the record of an incarnation of this version; versions without gangs read only its
+   * number.
+   */
   static ObjectNode announcement(long incarnation) {
     return Json.object()
         .put(INCARNATION_FIELD, incarnation)
         .put(VERSION_FIELD, ClusterConstants.RECORD_VERSION);
   }
 
-  /** Reads the announcements again and again until all controllers know the current version. */
+  /** Reads the announcements periodically until all controllers support gangs. */
   public void start() {
     poll();
   }
 
-  /** Whether every controller reads the records of gangs. Once true, it stays so. */
+  /** Returns whether every controller can read records of gangs. Once true, it stays true. */
   public boolean allKnowGangs() {
     return allKnowGangs;
   }
--- a/src/main/java/org/sandford/cluster/ShardBalancer.java
+++ b/src/main/java/org/sandford/cluster/ShardBalancer.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Levels the members' shards of machines. It moves a part of the surplus of the largest shard to
- * the smallest, and then rests for {@link ClusterConstants#REBALANCE_INTERVAL_MS}, in which the
+ * Balances the members' shards of machines. Moves a part of the largest shard's surplus to the
+ * smallest shard, and then waits for {@link ClusterConstants#REBALANCE_INTERVAL_MS}, in which the
  * shards' owners report their free resources. Runs on the event loop.
  */
 final class ShardBalancer {
@@ -31,7 +31,7 @@
     this.loop = loop;
   }
 
-  /** The machines to move now with their next owners, in the order in which they are to move. */
+  /** Returns the next owner of each machine to move now, in the order of the moves. */
   Map<String, String> planMoves(Collection<String> memberIds, Machines machines) {
     long now = loop.nanos();
     if (memberIds.size() < 2 || now - lastRebalancedAt < INTERVAL_NANOS) {
@@ -73,7 +73,7 @@
     return shards;
   }
 
-  /** Machines of the zones of which the shard has fewest come first. */
+  /** Orders first the machines of the zones in which the shard has the fewest machines. */
   private static Comparator<String> byMachinesInZone(
       List<String> shard, Map<String, MachineAssignment> machines) {
     Map<String, Integer> machinesInZone = new TreeMap<>();
--- a/src/main/java/org/sandford/cluster/ShardSizes.java
+++ b/src/main/java/org/sandford/cluster/ShardSizes.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.sandford.cluster.AssignmentMap.MachineAssignment;
 
-/** The number of machines in each owner's shard, in all and by zone. Part of one plan. */
+/** Counts the machines in each owner's shard, in total and by zone. Used for one plan. */
 final class ShardSizes {
   private final Map<String, Integer> machineCountByOwner = new HashMap<>();
   private final Map<String, Integer> machineCountByOwnerAndZone = new HashMap<>();
@@ -16,8 +16,8 @@
   }
 
   /**
-   * The member with the fewest machines in the zone, and of several the one with the fewest in all:
-   * so each shard has machines of every zone where possible.
+   * Returns the member with the fewest machines in the zone; on a tie, the one with the fewest in
+   * total. So each shard has machines of every zone where possible.
    */
   String leastLoaded(Collection<String> members, String zone) {
     String best = "";
--- a/src/main/java/org/sandford/cluster/TerminalStateWatch.java
+++ b/src/main/java/org/sandford/cluster/TerminalStateWatch.java
@@ -11,8 +11,8 @@
 import org.sandford.store.StoreClient.Entry;
 
 /**
- * Watches the terminal states of jobs as any controller stores them. Those that were stored before
- * the watch began are not read. Runs on the event loop.
+ * Watches the terminal states of jobs that any controller stores. Those stored before the watch
+ * began are not read. Runs on the event loop.
  */
 final class TerminalStateWatch implements PrefixWatch.Handler {
   /** Notified on the event loop. */
@@ -20,11 +20,11 @@
     /** A job's terminal state was stored. */
     void jobEnded(String jobId, JsonNode record);
 
-    /** Terminal states may have been stored unseen. */
+    /** Terminal states may have been stored that the watch missed. */
     void jobEndsMissed();
   }
 
-  /** No key has this prefix: listing it costs the least where only the revision is needed. */
+  /** No key has this prefix, so listing it is the cheapest way to get the store's revision. */
   private static final String UNUSED_PREFIX = "none/";
 
   private final PrefixWatch watch;
@@ -42,14 +42,12 @@
     watch.start();
   }
 
-  /**
-   * The terminal states that the store held at this moment are known, if stored since the start.
-   */
+  /** Returns the moment up to which the terminal states stored since the start are known here. */
   MonotonicTime freshAt() {
     return watch.freshAt();
   }
 
-  /** Terminal states stored before this moment may be unknown here. */
+  /** Returns the moment before which terminal states may have been stored that are unknown here. */
   MonotonicTime completeSince() {
     return completeSince;
   }
--- a/src/test/java/org/sandford/cancel/CancellationsTest.java
+++ b/src/test/java/org/sandford/cancel/CancellationsTest.java
@@ -16,12 +16,15 @@
 import org.sandford.settings.Settings;
 import org.sandford.settings.TestSettings;
 
-/** Which cancellations count as known, and until when a lease may be renewed for that. */
+/** Tests which cancellations count as known and how long leases may be renewed on that basis. */
 class CancellationsTest {
   private static final double LEASE_S = 16;
   private static final double CANCEL_S = 46;
 
-  /** Any renewal later than this after what is known would let a task outlive the bound. */
+  /**
+   * Renewals later than this after the moment up to which all is known would let a task exceed the
+   * bound.
+   */
   private static final double LAST_RENEWAL_S = CANCEL_S - LEASE_S;
 
   private final ManualEventLoop clock = new ManualEventLoop();
@@ -108,7 +111,8 @@
     assertTrue(c.mayRenew(true));
     clock.pass(1.5);
     assertFalse(
-        c.mayRenew(true), "half a second is not enough for drift, late timers and slow kills");
+        c.mayRenew(true),
+        "half a second is too little for clock drift, late timers and slow kills");
   }
 
   @Test
@@ -121,7 +125,7 @@
       allPeersRespond(c);
     }
     assertTrue(c.mayRenew(true));
-    // The silent one alone may have confirmed cancellations.
+    // The one peer that does not respond may have confirmed cancellations.
     for (int i = 0; i < (int) LAST_RENEWAL_S; i++) {
       clock.pass(1);
       c.handleResponse("c1", responseOf("c1#1", 0, 0));
@@ -153,7 +157,8 @@
     c.handleResponse("c1", newer);
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
     assertFalse(
-        c.mayRenew(true), "another may own the machines by now, and counts on their leases to end");
+        c.mayRenew(true),
+        "another controller may own the machines by now and rely on their leases to expire");
     machinesRevision++;
     c.handleResponse("c1", newer);
     assertTrue(c.mayRenew(true));
@@ -167,7 +172,7 @@
     clock.pass(LAST_RENEWAL_S);
     c.handleResponse("c1", responseOf("c1#2", 0, 0));
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
-    assertFalse(c.mayRenew(true), "what c1#1 confirmed last may be missing");
+    assertFalse(c.mayRenew(true), "the last confirmations of c1#1 may be missing");
     clock.pass(0.1);
     readStore();
     clock.pass(LAST_RENEWAL_S);
@@ -199,7 +204,7 @@
     assertFalse(c.mayRenew(false));
     clock.pass(3);
     readStore();
-    assertTrue(c.mayRenew(false), "by now they would be gone");
+    assertTrue(c.mayRenew(false), "by now the tasks of jobs cancelled before the start have ended");
   }
 
   @Test
@@ -217,7 +222,7 @@
     assertEquals(
         List.of("wk-1", "wk-2"),
         c.handleRequest(new CancellationsRequest(5L, "c0#0", 2L)).jobs,
-        "another incarnation's count");
+        "the number seen belongs to another incarnation");
     assertEquals(5, c.handleRequest(new CancellationsRequest(5L, "", 0L)).sentAt);
     incarnationId = "";
     assertNull(c.handleRequest(new CancellationsRequest(5L, "", 0L)));
--- a/src/test/java/org/sandford/cluster/MachineAssignmentPlannerTest.java
+++ b/src/test/java/org/sandford/cluster/MachineAssignmentPlannerTest.java
@@ -26,7 +26,7 @@
     return new TestSettings().withStoreLimits(VALUE_BYTES, TXN_OPS).facts();
   }
 
-  /** A map that was written under a larger value limit, as one partition. */
+  /** Returns machines in one partition, as written under a larger value limit. */
   private static Machines onePartition(int count, String owner) {
     Map<String, MachineAssignment> assignments = new TreeMap<>();
     for (int i = 0; i < count; i++) {
@@ -67,9 +67,9 @@
               new MachineAssignmentPlanner(facts(), machines, liveMembers).plan(NO_CHANGES),
               ++transactions + 1);
       assertEquals(230, machines.of().size());
-      assertTrue(transactions < 20, "it does not come to an end");
+      assertTrue(transactions < 20, "the split does not end");
     }
-    assertTrue(transactions > 1, "one transaction cannot hold it");
+    assertTrue(transactions > 1, "the split must take several transactions");
   }
 
   @Test
@@ -84,8 +84,10 @@
       MachineAssignmentPlanner.Plan plan =
           planner.plan(new MachineAssignmentPlanner.Changes(List.of(), removals, Map.of()));
       machines = applyPlan(machines, plan, ++transactions + 1);
-      assertTrue(machines.of().size() >= 227, machines.of().size() + " machines are left");
-      assertTrue(transactions < 20, "it does not come to an end");
+      assertTrue(
+          machines.of().size() >= 227,
+          machines.of().size() + " machines remain, at least 227 must");
+      assertTrue(transactions < 20, "the removals do not end");
     }
     assertEquals(227, machines.of().size());
   }
--- a/src/test/java/org/sandford/cluster/PrefixWatchTest.java
+++ b/src/test/java/org/sandford/cluster/PrefixWatchTest.java
@@ -17,7 +17,7 @@
 import org.sandford.store.StoreClient;
 import org.sandford.store.StoreClient.Entry;
 
-/** Listing and watching a prefix, with a store that answers as each test says. */
+/** Tests listing and watching a prefix against a store whose replies each test supplies. */
 class PrefixWatchTest {
   private static final String LISTING =
       "{\"entries\":[{\"k\":\"c/a\",\"v\":{},\"stamp\":3}],\"more\":false,\"epoch\":9}";
@@ -80,11 +80,11 @@
     MonotonicTime beforeReply = MonotonicTime.ofNanos(loop.nanos());
     assertTrue(watch.freshAt().isBefore(beforeReply));
     reply(200, "{\"epoch\":9,\"log\":[]}");
-    assertTrue(watch.freshAt().isBefore(beforeReply), "the request left a second ago");
+    assertTrue(watch.freshAt().isBefore(beforeReply), "the request was sent a second ago");
     loop.pass(1);
     reply(200, "{\"epoch\":9,\"log\":[]}");
     assertFalse(watch.freshAt().isBefore(beforeReply));
-    assertEquals(2, handled.size(), "the listing only");
+    assertEquals(2, handled.size(), "only the listing was handled");
   }
 
   @Test
--- a/src/test/java/org/sandford/cluster/SessionMembershipTest.java
+++ b/src/test/java/org/sandford/cluster/SessionMembershipTest.java
@@ -18,7 +18,7 @@
 import org.sandford.store.StoreClient;
 import org.sandford.store.StoreClient.Entry;
 
-/** The steps from a start to membership, and what ends it. */
+/** Tests the steps from a start to membership and what ends a membership. */
 class SessionMembershipTest {
   private static final double STORE_RPS = 100;
 
@@ -56,7 +56,10 @@
     sent.get(request).onReply.accept(new Reply(status, body.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** Replies to the requests from {@code first} on so that the controller joins as {@code c0#4}. */
+  /**
+   * Replies to the requests from number {@code first} on so that the controller joins as {@code
+   * c0#4}.
+   */
   private void replyUntilJoined(int first) {
     reply(first, 200, "{\"v\":{\"n\":3,\"v\":2},\"stamp\":20}");
     reply(first + 1, 200, "{\"epoch\":30}");
@@ -89,7 +92,7 @@
     reply(3, 200, "{\"epoch\":31}");
     assertTrue(membership.leaseValid());
     loop.pass(0.8);
-    assertFalse(membership.leaseValid(), "3 s without drift and margin have passed");
+    assertFalse(membership.leaseValid(), "the lease of 3 s less drift and margin has expired");
   }
 
   @Test
@@ -97,7 +100,7 @@
     membership.join();
     membership.join();
     reply(0, 404, "{}");
-    assertEquals(2, sent.size(), "nothing follows from the first attempt's answer");
+    assertEquals(2, sent.size(), "the reply to the first attempt must not cause a request");
     replyUntilJoined(1);
     assertEquals(List.of("c0#4"), joined);
   }
@@ -108,7 +111,7 @@
     replyUntilJoined(0);
     membership.memberKeyChanged(new Entry("c/ctl/c0", IncarnationIds.toJson("c0#3"), 25));
     membership.memberKeyChanged(new Entry("c/ctl/c0", IncarnationIds.toJson("c0#4"), 31));
-    assertTrue(membership.leaseValid(), "older than its own write, and its own write");
+    assertTrue(membership.leaseValid(), "changes up to its own write are ignored");
     membership.memberKeyChanged(new KeyChange.Removal("c/ctl/c0", 32));
     assertFalse(membership.leaseValid());
     assertEquals("/store/inc/c0", sent.get(4).path);
--- a/src/test/java/org/sandford/cluster/ShardBalancerTest.java
+++ b/src/test/java/org/sandford/cluster/ShardBalancerTest.java
@@ -18,7 +18,7 @@
   private final ManualEventLoop loop = new ManualEventLoop();
   private final ShardBalancer balancer = new ShardBalancer(loop);
 
-  /** The first {@code ofFirst} machines are owned by the first member; zones alternate. */
+  /** Returns machines in alternating zones; the first member owns the first {@code ofFirst}. */
   private static Machines machines(int count, int ofFirst) {
     Map<String, MachineAssignment> machines = new TreeMap<>();
     for (int i = 0; i < count; i++) {
