--- a/src/main/java/org/sandford/cancel/Cancellations.java
+++ b/src/main/java/org/sandford/cancel/Cancellations.java
@@ -75,7 +75,7 @@
      * When this incarnation, or a gap in its log, was first seen. What was confirmed before is
      * known once the store was read after this moment.
      */
-    private MonotonicTime incarnationFirstSeenAt = MonotonicTime.NEVER;
+    private MonotonicTime restartedAt = MonotonicTime.NEVER;
 
     /** All that this incarnation confirmed before this moment is known here. */
     private MonotonicTime coveredUntil = MonotonicTime.NEVER;
@@ -84,9 +84,7 @@
     private MonotonicTime formerIncarnationsCoveredUntil = MonotonicTime.NEVER;
 
     MonotonicTime coveredUntil(MonotonicTime storeFreshAt) {
-      return storeFreshAt.isBefore(incarnationFirstSeenAt)
-          ? formerIncarnationsCoveredUntil
-          : coveredUntil;
+      return storeFreshAt.isBefore(restartedAt) ? formerIncarnationsCoveredUntil : coveredUntil;
     }
 
     /**
@@ -100,7 +98,7 @@
     void restart(CancellationsResponse response, MonotonicTime now, MonotonicTime storeFreshAt) {
       formerIncarnationsCoveredUntil = coveredUntil(storeFreshAt);
       incarnationId = response.incarnation;
-      incarnationFirstSeenAt = now;
+      restartedAt = now;
       coveredUntil = MonotonicTime.NEVER;
       receivedUpTo = response.upTo;
     }
