--- a/src/main/java/org/sandford/cluster/AssignmentReconciler.java
+++ b/src/main/java/org/sandford/cluster/AssignmentReconciler.java
@@ -10,9 +10,9 @@
 import org.sandford.settings.Settings;
 
 /**
- * The leader's reconciliation of the assignment map with the members and the pending changes: every
- * team and machine gets an owner that is a member, and shards are levelled. Runs on the event loop,
- * does nothing while this controller does not lead, and writes one transaction at a time.
+ * Reconciles the assignment map with the members and the pending changes: assigns every team and
+ * machine to a member and balances the shards. Does nothing unless this controller leads, and
+ * writes one transaction at a time. Runs on the event loop.
  */
 final class AssignmentReconciler {
   private final EventLoop loop;
@@ -24,7 +24,7 @@
   private final AssignmentMapWriter writer;
   private final ShardBalancer balancer;
 
-  private boolean scheduled;
+  private boolean reconcileScheduled;
 
   AssignmentReconciler(
       EventLoop loop,
@@ -44,75 +44,85 @@
     this.balancer = new ShardBalancer(loop);
   }
 
-  /** Reconciles after what is queued on the event loop, once for all requests until then. */
+  /**
+   * Schedules one reconciliation behind the tasks already queued on the event loop; further
+   * requests until then are merged into it.
+   */
   void reconcileSoon() {
-    if (scheduled) {
+    if (reconcileScheduled) {
       return;
     }
-    scheduled = true;
+    reconcileScheduled = true;
     loop.execute(
         () -> {
-          scheduled = false;
+          reconcileScheduled = false;
           reconcile();
         });
   }
 
-  /** Stands for election if need be, and as the leader writes what has to change now. */
+  /** Campaigns if there is no leader and, as the leader, writes the changes that are due. */
   void reconcile() {
     election.campaign();
     if (!election.isLeader() || writer.isWriting() || !members.contains(election.leaderId())) {
       return;
     }
-    if (waitsForControllers()) {
+    if (shouldWaitForControllers()) {
       return;
     }
     pending.moveMachines(balancer.planMoves(members.ids(), map.machines()));
     Teams nextTeams = teamPlanner().plan(facts.teams().keySet());
     Set<String> memberIds = members.sortedIds();
-    boolean ownerless = anyOwnerless(map.machines(), memberIds);
-    boolean urgent = !nextTeams.equals(map.teams()) || pending.hasUrgentRemovals() || ownerless;
-    boolean ordinary = writer.mayWriteOrdinaryChanges();
-    if (!urgent && !ordinary) {
+    boolean hasOwnerless = hasOwnerlessMachines(map.machines(), memberIds);
+    boolean urgent = !nextTeams.equals(map.teams()) || pending.hasUrgentRemovals() || hasOwnerless;
+    boolean nonUrgentAllowed = writer.mayWriteNonUrgentChanges();
+    if (!urgent && !nonUrgentAllowed) {
       return;
     }
     MachineAssignmentPlanner.Plan machines =
-        ownerless || pending.hasMachineChanges()
-            ? planMachines(memberIds, ordinary)
+        hasOwnerless || pending.hasMachineChanges()
+            ? planMachines(memberIds, nonUrgentAllowed)
             : new MachineAssignmentPlanner.Plan(map.machines().lastGeneration(), Map.of());
     writer.write(election.leaderRevision(), nextTeams, machines);
   }
 
   /**
-   * Whether the leader gives the other controllers time to join. It does so only where a cluster
-   * starts: in a failover every moment counts, and who joins later gets its shard by moves.
+   * Returns whether the leader still waits for other controllers to join. It waits only while the
+   * cluster starts: a failover must not be delayed, and a controller that joins later gets its
+   * shard by moves.
    */
-  private boolean waitsForControllers() {
+  private boolean shouldWaitForControllers() {
     boolean firstAssignment = map.teams().revision() == 0;
-    boolean starting = firstAssignment || members.size() == 1;
-    boolean complete = members.size() >= facts.controllers();
+    boolean clusterStarting = firstAssignment || members.size() == 1;
+    boolean allJoined = members.size() >= facts.controllers();
     int delayMs =
         firstAssignment
             ? ClusterConstants.LEADER_ASSIGNMENT_DELAY_MS
             : ClusterConstants.LEADER_ALONE_DELAY_MS;
-    return starting && !complete && election.leaderKnownForNanos() < delayMs * 1_000_000L;
+    return clusterStarting
+        && !allJoined
+        && election.nanosSinceLeaderChange() < delayMs * 1_000_000L;
   }
 
-  private static boolean anyOwnerless(Machines machines, Set<String> memberIds) {
+  private static boolean hasOwnerlessMachines(Machines machines, Set<String> memberIds) {
     return machines.of().values().stream()
         .anyMatch(machine -> !memberIds.contains(machine.owner()));
   }
 
   /**
-   * Without {@code ordinary} only what tasks wait for is planned: machines without an owner, and
-   * removals of machines that held tasks.
+   * Plans the machine changes. Without {@code includeNonUrgent}, it plans only those that tasks
+   * wait for: owners for machines without one, and removals of machines that held tasks.
    */
-  private MachineAssignmentPlanner.Plan planMachines(Set<String> memberIds, boolean ordinary) {
+  private MachineAssignmentPlanner.Plan planMachines(
+      Set<String> memberIds, boolean includeNonUrgent) {
     MachineAssignmentPlanner.Changes changes =
-        ordinary ? pending.machineChanges() : pending.urgentMachineChanges();
+        includeNonUrgent ? pending.machineChanges() : pending.urgentMachineChanges();
     return new MachineAssignmentPlanner(facts, map.machines(), memberIds).plan(changes);
   }
 
-  /** A team whose owner is to hand it over, so that no member has two more than another. */
+  /**
+   * Returns a team whose owner is to hand it over, so that no member has two teams more than
+   * another.
+   */
   Optional<String> teamToHandOver() {
     if (!election.isLeader() || writer.isWriting() || members.size() < 2) {
       return Optional.empty();
--- a/src/main/java/org/sandford/cluster/MachineAssignmentPlanner.java
+++ b/src/main/java/org/sandford/cluster/MachineAssignmentPlanner.java
@@ -19,24 +19,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Plans one change of the machines in the assignment map: the pending changes, and an owner for
- * each machine whose owner is no longer a member. Pure, and made anew for each plan. One plan fits
- * into one transaction; what does not fit is planned again after it.
+ * Plans one change of the machines in the assignment map: applies the pending changes and assigns
+ * an owner to each machine whose owner is no longer a member. Has no side effects but logging; each
+ * plan takes a new instance. One plan fits into one transaction; the rest is planned after that
+ * transaction.
  *
  * <p>A partition that exceeds the store's value limit, because it was written under a larger one,
- * is split. Its machines are first copied to partitions with higher numbers, which take precedence
- * over lower ones, and leave it once all copies that it needs are stored.
+ * is split. Its excess machines are first copied to partitions with higher numbers, which take
+ * precedence over lower ones, and are removed from it once all of these copies are stored.
  */
 final class MachineAssignmentPlanner {
   private static final Logger log = LoggerFactory.getLogger(MachineAssignmentPlanner.class);
 
-  /** Operations of a transaction that the head of the machines and the teams may need. */
+  /** Operations of a transaction reserved for the machines' head and the teams. */
   private static final int RESERVED_OPS = 2;
 
   /**
    * The changes to plan.
    *
-   * @param additions machines to add, or known ones of which the address is new
+   * @param additions machines to add, or known machines with a new address
    * @param removals names of the machines to remove
    * @param moves the requested owner by machine
    */
@@ -47,7 +48,7 @@
    * The partitions to write.
    *
    * @param lastGeneration the last generation that was assigned
-   * @param changed the partitions by number, each with the revision that it replaces
+   * @param changed the changed partitions by number, each with the revision that it replaces
    */
   record Plan(long lastGeneration, Map<Integer, Partition> changed) {}
 
@@ -56,14 +57,14 @@
   private final Set<String> liveMembers;
   private final Map<Integer, Map<String, MachineAssignment>> drafts = new TreeMap<>();
 
-  /** The partition that counts for each machine: of two that hold it, the higher number. */
+  /** The authoritative partition of each machine: the highest number of those that hold it. */
   private final Map<String, Integer> partitionOfMachine = new HashMap<>();
 
   private final Map<Integer, Integer> machinesPerPartition = new TreeMap<>();
   private final ShardSizes shardSizes = new ShardSizes();
   private final Set<String> removed = new TreeSet<>();
 
-  /** Partitions that stay too large in this plan: copies of their machines are written first. */
+  /** Partitions that this plan leaves too large: copies of their machines must be stored first. */
   private final Set<Integer> splitting = new TreeSet<>();
 
   private long lastGeneration;
@@ -90,7 +91,7 @@
 
   Plan plan(Changes changes) {
     changes.removals.forEach(this::remove);
-    changes.additions.forEach(add -> add(add, changes.removals));
+    changes.additions.forEach(machine -> add(machine, changes.removals));
     machines.partitions().forEach(this::splitIfTooLarge);
     assignOwners(changes.moves);
     return new Plan(lastGeneration, partitionsForOneTransaction());
@@ -98,7 +99,8 @@
 
   private void remove(String name) {
     Integer number = partitionOfMachine.get(name);
-    // While a partition that is being split holds an older copy, a removal would restore that.
+    // While a partition that is being split still holds an older copy, removing the newer one would
+    // restore it.
     if (number != null && !hasOlderCopy(name, number)) {
       draft(number).remove(name);
       removed.add(name);
@@ -112,17 +114,19 @@
                 partition.getKey() < number && partition.getValue().machines().containsKey(name));
   }
 
-  private void add(Cluster.NewMachine add, Set<String> removals) {
-    MachineAssignment known = machines.of().get(add.name());
+  private void add(Cluster.NewMachine machine, Set<String> removals) {
+    MachineAssignment known = machines.of().get(machine.name());
     if (known == null) {
       int number = partitionWithMostSpace();
       machinesPerPartition.merge(number, 1, Integer::sum);
       draft(number)
           .put(
-              add.name(),
-              MachineAssignment.withoutOwner(add.address(), add.kind(), add.zone(), add.spot()));
-    } else if (!known.hasAddress() && add.hasAddress() && !removals.contains(add.name())) {
-      draft(partitionOfMachine.get(add.name())).put(add.name(), known.at(add.address()));
+              machine.name(),
+              MachineAssignment.withoutOwner(
+                  machine.address(), machine.kind(), machine.zone(), machine.spot()));
+    } else if (!known.hasAddress() && machine.hasAddress() && !removals.contains(machine.name())) {
+      draft(partitionOfMachine.get(machine.name()))
+          .put(machine.name(), known.withAddress(machine.address()));
     }
   }
 
@@ -134,22 +138,23 @@
   }
 
   /**
-   * The partition with the most free space, or a new one when all are full. Machines that are
-   * provisioned together start and are decommissioned together, and so change few partitions.
+   * Returns the partition with the fewest machines, or a new one when all are full. Machines that
+   * are provisioned together thus mostly share partitions; they also start and are decommissioned
+   * together, which then changes few partitions.
    */
   private int partitionWithMostSpace() {
-    int best = 0;
-    while (machinesPerPartition.containsKey(best)) {
-      best++;
+    int emptiest = 0;
+    while (machinesPerPartition.containsKey(emptiest)) {
+      emptiest++;
     }
-    int least = Integer.MAX_VALUE;
+    int fewestMachines = Integer.MAX_VALUE;
     for (Map.Entry<Integer, Integer> e : machinesPerPartition.entrySet()) {
-      if (e.getValue() < maxEntriesPerPartition() && e.getValue() < least) {
-        best = e.getKey();
-        least = e.getValue();
+      if (e.getValue() < maxEntriesPerPartition() && e.getValue() < fewestMachines) {
+        emptiest = e.getKey();
+        fewestMachines = e.getValue();
       }
     }
-    return best;
+    return emptiest;
   }
 
   private void splitIfTooLarge(int number, Partition partition) {
@@ -161,7 +166,7 @@
     Map<String, MachineAssignment> remaining = draft(number);
     remaining.keySet().removeIf(name -> partitionOfMachine.get(name) != number);
     List<String> moving = new ArrayList<>(remaining.keySet());
-    // Machines without an owner go first: their new owner can be written at once.
+    // Machines without an owner are moved first: their new owner can be written at once.
     moving.sort(
         (a, b) ->
             Boolean.compare(
@@ -171,22 +176,23 @@
     int moved = 0;
     while (moved < excess && drafts.size() + RESERVED_OPS < facts.stateTxnOps()) {
       int target = nextPartitionNumber();
-      int until = Math.min(excess, moved + maxEntriesPerPartition());
-      for (String name : moving.subList(moved, until)) {
+      int end = Math.min(excess, moved + maxEntriesPerPartition());
+      for (String name : moving.subList(moved, end)) {
         draft(target).put(name, remaining.remove(name));
         partitionOfMachine.put(name, target);
       }
-      machinesPerPartition.put(target, until - moved);
-      moved = until;
+      machinesPerPartition.put(target, end - moved);
+      moved = end;
     }
     if (moved < excess) {
-      // The other copies follow with the next transactions; until then the partition stays.
+      // The remaining copies follow in later transactions; until then the partition stays
+      // unchanged.
       drafts.remove(number);
       splitting.add(number);
     }
   }
 
-  /** Higher than all others, so that its copies count before what they are copied from. */
+  /** Returns a number above all others, so that copies take precedence over their originals. */
   private int nextPartitionNumber() {
     return machinesPerPartition.keySet().stream().mapToInt(Integer::intValue).max().orElse(-1) + 1;
   }
@@ -201,11 +207,11 @@
     for (int number : numbers) {
       Map<String, MachineAssignment> before = drafts.getOrDefault(number, stored(number));
       for (Map.Entry<String, MachineAssignment> e : new TreeMap<>(before).entrySet()) {
-        boolean counts = partitionOfMachine.getOrDefault(e.getKey(), number) == number;
+        boolean authoritative = partitionOfMachine.getOrDefault(e.getKey(), number) == number;
         String requestedOwner = moves.get(e.getKey());
-        if (counts && changesOwner(e.getValue(), requestedOwner)) {
+        if (authoritative && needsNewOwner(e.getValue(), requestedOwner)) {
           MachineAssignment assigned =
-              e.getValue().ownedBy(nextOwner(e.getValue(), requestedOwner), ++lastGeneration);
+              e.getValue().withOwner(nextOwner(e.getValue(), requestedOwner), ++lastGeneration);
           shardSizes.add(assigned);
           draft(number).put(e.getKey(), assigned);
         }
@@ -213,7 +219,7 @@
     }
   }
 
-  private boolean changesOwner(MachineAssignment machine, String requestedOwner) {
+  private boolean needsNewOwner(MachineAssignment machine, String requestedOwner) {
     boolean moves = isMember(requestedOwner) && !requestedOwner.equals(machine.owner());
     return moves || !liveMembers.contains(machine.owner());
   }
@@ -224,24 +230,24 @@
         : shardSizes.leastLoaded(liveMembers, machine.zone());
   }
 
-  /** Whether an owner was requested at all that is a member. */
+  /** Returns whether an owner was requested and is a member. */
   private boolean isMember(String requestedOwner) {
     return requestedOwner != null && liveMembers.contains(requestedOwner);
   }
 
   /**
-   * The partitions that differ from what is stored, as many as one transaction takes; new ones,
-   * which hold copies, come first.
+   * Returns the partitions that differ from the stored ones, as many as fit into one transaction.
+   * New partitions come first because they hold copies.
    */
   private Map<Integer, Partition> partitionsForOneTransaction() {
     Map<Integer, Partition> changed = new TreeMap<>();
-    List<Integer> order = new ArrayList<>(drafts.keySet());
-    order.sort(
+    List<Integer> draftNumbers = new ArrayList<>(drafts.keySet());
+    draftNumbers.sort(
         (a, b) ->
             Boolean.compare(
                 machines.partitions().containsKey(a), machines.partitions().containsKey(b)));
     int total = 0;
-    for (int number : order) {
+    for (int number : draftNumbers) {
       Map<String, MachineAssignment> draft = drafts.get(number);
       if (draft.equals(stored(number)) || !losesNoMachine(number, draft, changed)) {
         continue;
@@ -267,8 +273,8 @@
   }
 
   /**
-   * Whether each machine that leaves the partition is removed, or is stored in another partition by
-   * the end of this transaction.
+   * Returns whether each machine dropped from the partition is being removed, or is stored in
+   * another partition by the end of this transaction.
    */
   private boolean losesNoMachine(
       int number, Map<String, MachineAssignment> draft, Map<Integer, Partition> changed) {
@@ -277,9 +283,9 @@
         continue;
       }
       int other = partitionOfMachine.get(name);
-      Map<String, MachineAssignment> there =
+      Map<String, MachineAssignment> otherMachines =
           changed.containsKey(other) ? changed.get(other).machines() : stored(other);
-      if (other == number || !there.containsKey(name)) {
+      if (other == number || !otherMachines.containsKey(name)) {
         return false;
       }
     }
--- a/src/main/java/org/sandford/cluster/SessionMembership.java
+++ b/src/main/java/org/sandford/cluster/SessionMembership.java
@@ -23,35 +23,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's session in the cluster: it takes an incarnation number from the store, acquires
- * a session lease, writes the membership key on it, and renews the lease. Whatever is lost, it
- * begins again with a new incarnation.
+ * Maintains this controller's session in the cluster: registers the next incarnation number in the
+ * store, acquires a session lease, writes the membership key with it, and renews the lease. When
+ * any of these is lost, it begins again with a new incarnation.
  *
- * <p>While {@link #leaseValid()} no other controller can have taken over what this one owns: the
- * store removes the membership key only after the lease, whose end is counted here from before the
- * request for it left. Runs on the event loop.
+ * <p>While {@link #leaseValid()}, no other controller can have taken over what this one owns: the
+ * store removes the membership key only when the lease expires, and the lease's term is counted
+ * here from before its request was sent. Runs on the event loop.
  */
 final class SessionMembership {
   private static final Logger log = LoggerFactory.getLogger(SessionMembership.class);
   private static final String NUMBER_FIELD = "n";
 
-  /** The steps to membership, in this order; any loss leads back to the first. */
+  /** The steps to membership, in this order; any failure leads back to the first. */
   enum State {
-    /** No incarnation number of this attempt yet. */
+    /** This attempt has not registered an incarnation number yet. */
     UNREGISTERED,
-    /** The incarnation number is stored; a session lease is requested. */
+    /** The incarnation number is stored; a session lease is being requested. */
     REGISTERED,
     /** The session lease was granted; the membership key is being written. */
     LEASED,
-    /** The membership key stands on the session lease. */
+    /** The membership key is stored with the session lease. */
     MEMBER;
 
-    boolean mayFollow(State former) {
+    boolean mayFollow(State previous) {
       return switch (this) {
         case UNREGISTERED -> true;
-        case REGISTERED -> former == UNREGISTERED;
-        case LEASED -> former == REGISTERED;
-        case MEMBER -> former == LEASED;
+        case REGISTERED -> previous == UNREGISTERED;
+        case LEASED -> previous == REGISTERED;
+        case MEMBER -> previous == LEASED;
       };
     }
   }
@@ -61,7 +61,7 @@
     /** The membership key was written for this incarnation. */
     void joined(String incarnationId);
 
-    /** The session lease is valid again, or lost. */
+    /** The session lease became valid again or was lost. */
     void leaseChanged();
   }
 
@@ -77,21 +77,21 @@
   private final StoreClient store;
   private final Listener listener;
 
-  /** Callbacks of one attempt to join, and of the membership that it led to. */
-  private final CallbackGuard attempts = new CallbackGuard();
+  /** Guards the callbacks of one attempt to join and of the resulting membership. */
+  private final CallbackGuard joinAttempts = new CallbackGuard();
 
   private State state = State.UNREGISTERED;
   private Optional<Incarnation> incarnation = Optional.empty();
 
-  /** Meaningful from {@link State#LEASED} on. */
+  /** Valid from {@link State#LEASED} on. */
   private long leaseId;
 
   private long leaseExpiresAt;
 
-  /** The store's revision of the membership key; meaningful as {@link State#MEMBER}. */
+  /** The store's revision of the membership key; valid in {@link State#MEMBER}. */
   private long memberRevision;
 
-  private long requestIds;
+  private long lastRequestNumber;
 
   SessionMembership(EventLoop loop, Settings settings, StoreClient store, Listener listener) {
     this.loop = loop;
@@ -101,19 +101,19 @@
   }
 
   /**
-   * The latest registered incarnation's id, which stays while the controller joins again; empty
+   * Returns the latest registered incarnation's id, also while the controller joins again; ""
    * before the first.
    */
   String incarnationIdOrEmpty() {
     return incarnation.isPresent() ? incarnation.get().id : "";
   }
 
-  /** The latest registered incarnation's number, or 0 before the first. */
+  /** Returns the latest registered incarnation's number, or 0 before the first. */
   long incarnationNumber() {
     return incarnation.isPresent() ? incarnation.get().number : 0;
   }
 
-  /** Whether the id is of the latest registered incarnation. */
+  /** Returns whether the id is that of the latest registered incarnation. */
   boolean isOwnIncarnation(String incarnationId) {
     return incarnation.isPresent() && incarnation.get().id.equals(incarnationId);
   }
@@ -122,33 +122,38 @@
     return settings.label();
   }
 
-  /** Whether this controller may act as owner or leader until the next call of the event loop. */
+  /**
+   * Returns whether this controller may act as owner or leader; holds until the current callback of
+   * the event loop returns.
+   */
   boolean leaseValid() {
     return state == State.MEMBER && loop.nanos() < leaseExpiresAt;
   }
 
-  /** The session lease's id in the store; only while {@link #leaseValid()}. */
+  /** Returns the session lease's id in the store; only while {@link #leaseValid()}. */
   long leaseId() {
     return leaseId;
   }
 
-  /** An id for a request outside the store that nobody used before. */
+  /** Returns a unique id for a request to a system other than the store. */
   String newRequestId() {
-    return IncarnationIds.requestId(incarnationIdOrEmpty(), ++requestIds);
+    return IncarnationIds.requestId(incarnationIdOrEmpty(), ++lastRequestNumber);
   }
 
-  /** Begins to join, with a new incarnation; callbacks of a former attempt do nothing any more. */
+  /**
+   * Begins to join with a new incarnation; callbacks of earlier attempts are ignored from now on.
+   */
   void join() {
-    attempts.beginAttempt();
+    joinAttempts.beginAttempt();
     transitionTo(State.UNREGISTERED);
     leaseExpiresAt = loop.nanos();
-    store.read(incarnationKey(), Priority.RENEWAL, attempts.guard(this::incarnationRead));
+    store.read(incarnationKey(), Priority.RENEWAL, joinAttempts.guard(this::onIncarnationRead));
   }
 
   /**
-   * The membership key of this controller changed. A write of a former incarnation that the store
-   * applied late takes the key's place and removes the key with its own lease: the key is written
-   * anew.
+   * Handles a change of this controller's membership key. If the store applies a former
+   * incarnation's write late, that write replaces the key, and the key is removed with the former
+   * lease; the controller then joins again.
    */
   void memberKeyChanged(KeyChange change) {
     boolean ownValue =
@@ -160,7 +165,7 @@
   }
 
   private String incarnationKey() {
-    return RecordVersions.PREFIX + settings.label();
+    return RecordVersions.INCARNATION_PREFIX + settings.label();
   }
 
   private void transitionTo(State next) {
@@ -172,10 +177,10 @@
   }
 
   private void joinAgainSoon() {
-    loop.after(StoreConstants.STORE_RETRY_MS, attempts.guardTask(this::join));
+    loop.after(StoreConstants.STORE_RETRY_MS, joinAttempts.guardTask(this::join));
   }
 
-  private void incarnationRead(ReadResult result) {
+  private void onIncarnationRead(ReadResult result) {
     if (result instanceof ReadResult.Found found) {
       Entry entry = found.entry();
       registerIncarnation(entry.value().path(NUMBER_FIELD).asLong() + 1, entry.revision());
@@ -186,23 +191,23 @@
     }
   }
 
-  private void registerIncarnation(long number, long formerRevision) {
+  private void registerIncarnation(long number, long previousRevision) {
     store.transact(
-        Map.of(incarnationKey(), formerRevision),
+        Map.of(incarnationKey(), previousRevision),
         List.of(Op.put(incarnationKey(), RecordVersions.announcement(number))),
         Priority.RENEWAL,
-        attempts.guard(result -> incarnationRegistered(number, result)));
+        joinAttempts.guard(result -> onIncarnationRegistered(number, result)));
   }
 
-  private void incarnationRegistered(long number, TransactionResult result) {
-    // An unknown outcome may have used the number up: the next attempt reads a higher one.
+  private void onIncarnationRegistered(long number, TransactionResult result) {
+    // With an unknown outcome the number may be taken: the next attempt reads the key again.
     if (result.outcome() != Outcome.APPLIED) {
       joinAgainSoon();
       return;
     }
     String id = IncarnationIds.of(settings.label(), number);
     incarnation = Optional.of(new Incarnation(id, number, result.revision()));
-    requestIds = 0;
+    lastRequestNumber = 0;
     transitionTo(State.REGISTERED);
     acquireLease();
   }
@@ -211,24 +216,24 @@
     long sentAt = loop.nanos();
     store.createLease(
         ClusterConstants.SESSION_LEASE_TTL_MS,
-        attempts.guard(
+        joinAttempts.guard(
             grant -> {
               if (grant instanceof LeaseGrant.Granted granted) {
-                leaseAcquired(granted.leaseId(), sentAt);
+                onLeaseAcquired(granted.leaseId(), sentAt);
               } else {
                 joinAgainSoon();
               }
             }));
   }
 
-  private void leaseAcquired(long grantedLeaseId, long sentAt) {
-    leaseId = grantedLeaseId;
+  private void onLeaseAcquired(long grantedId, long sentAt) {
+    leaseId = grantedId;
     leaseExpiresAt = leaseExpiry(sentAt);
     transitionTo(State.LEASED);
     writeMemberKey(incarnation.orElseThrow());
   }
 
-  /** A lease is counted from before its request left, on a clock that may be slow. */
+  /** Counts the lease's term from before its request was sent, on a clock that may be slow. */
   private static long leaseExpiry(long sentAt) {
     double usableMs =
         ClusterConstants.SESSION_LEASE_TTL_MS * (1 - TimeConstants.CLOCK_DRIFT)
@@ -237,8 +242,8 @@
   }
 
   private void writeMemberKey(Incarnation registered) {
-    // On the condition that no later incarnation is registered: applied late, this write would
-    // take that one's key away.
+    // The condition makes the write fail once a later incarnation is registered: applied late, it
+    // would replace that incarnation's key.
     store.transact(
         Map.of(incarnationKey(), registered.revision),
         List.of(
@@ -247,10 +252,10 @@
                 IncarnationIds.toJson(registered.id),
                 leaseId)),
         Priority.RENEWAL,
-        attempts.guard(result -> memberKeyWritten(registered, result)));
+        joinAttempts.guard(result -> onMemberKeyWritten(registered, result)));
   }
 
-  private void memberKeyWritten(Incarnation registered, TransactionResult result) {
+  private void onMemberKeyWritten(Incarnation registered, TransactionResult result) {
     if (result.outcome() != Outcome.APPLIED) {
       joinAgainSoon();
       return;
@@ -263,15 +268,15 @@
   }
 
   private void scheduleRenewal() {
-    loop.after(ClusterConstants.SESSION_LEASE_RENEW_MS, attempts.guardTask(this::renewLease));
+    loop.after(ClusterConstants.SESSION_LEASE_RENEW_MS, joinAttempts.guardTask(this::renewLease));
   }
 
   private void renewLease() {
     long sentAt = loop.nanos();
-    store.renewLease(leaseId, attempts.guard(renewal -> leaseRenewed(renewal, sentAt)));
+    store.renewLease(leaseId, joinAttempts.guard(renewal -> onLeaseRenewed(renewal, sentAt)));
   }
 
-  private void leaseRenewed(LeaseRenewal renewal, long sentAt) {
+  private void onLeaseRenewed(LeaseRenewal renewal, long sentAt) {
     if (renewal instanceof LeaseRenewal.Expired) {
       log.info("session lease expired, joining again incarnation={}", incarnationIdOrEmpty());
       join();
--- a/src/main/java/org/sandford/cluster/ShardBalancer.java
+++ b/src/main/java/org/sandford/cluster/ShardBalancer.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Levels the members' shards of machines. It moves a part of the surplus of the largest shard to
- * the smallest, and then rests for {@link ClusterConstants#REBALANCE_INTERVAL_MS}, in which the
+ * Balances the members' shards of machines. Moves a part of the largest shard's surplus to the
+ * smallest shard, and then waits for {@link ClusterConstants#REBALANCE_INTERVAL_MS}, in which the
  * shards' owners report their free resources. Runs on the event loop.
  */
 final class ShardBalancer {
@@ -25,19 +25,19 @@
   private static final long INTERVAL_NANOS = ClusterConstants.REBALANCE_INTERVAL_MS * 1_000_000L;
 
   private final EventLoop loop;
-  private long rebalancedAt;
+  private long lastRebalancedAt;
 
   ShardBalancer(EventLoop loop) {
     this.loop = loop;
   }
 
-  /** The machines to move now with their next owners, in the order in which they are to move. */
+  /** Returns the next owner of each machine to move now, in the order of the moves. */
   Map<String, String> planMoves(Collection<String> memberIds, Machines machines) {
     long now = loop.nanos();
-    if (memberIds.size() < 2 || now - rebalancedAt < INTERVAL_NANOS) {
+    if (memberIds.size() < 2 || now - lastRebalancedAt < INTERVAL_NANOS) {
       return Map.of();
     }
-    rebalancedAt = now;
+    lastRebalancedAt = now;
     Map<String, List<String>> shards = shards(memberIds, machines);
     Comparator<String> bySize = Comparator.comparingInt(owner -> shards.get(owner).size());
     String largest = Collections.max(shards.keySet(), bySize);
@@ -46,15 +46,15 @@
     if (surplus < ClusterConstants.MIN_MACHINES_PER_REBALANCE) {
       return Map.of();
     }
-    int number =
+    int moveCount =
         Math.max(
             ClusterConstants.MIN_MACHINES_PER_REBALANCE,
             (int) (surplus * ClusterConstants.REBALANCED_SURPLUS_SHARE));
     List<String> candidates = shards.get(largest);
     candidates.sort(byMachinesInZone(shards.get(smallest), machines.of()));
     Map<String, String> moves = new LinkedHashMap<>();
-    candidates.stream().limit(number).forEach(name -> moves.put(name, smallest));
-    log.info("shards rebalanced machines={} from={} to={}", number, largest, smallest);
+    candidates.stream().limit(moveCount).forEach(name -> moves.put(name, smallest));
+    log.info("shards rebalanced machines={} from={} to={}", moveCount, largest, smallest);
     return moves;
   }
 
@@ -73,7 +73,7 @@
     return shards;
   }
 
-  /** Machines of the zones of which the shard has fewest come first. */
+  /** Orders first the machines of the zones in which the shard has the fewest machines. */
   private static Comparator<String> byMachinesInZone(
       List<String> shard, Map<String, MachineAssignment> machines) {
     Map<String, Integer> machinesInZone = new TreeMap<>();
--- a/src/test/java/org/sandford/cluster/ShardBalancerTest.java
+++ b/src/test/java/org/sandford/cluster/ShardBalancerTest.java
@@ -18,7 +18,7 @@
   private final ManualEventLoop loop = new ManualEventLoop();
   private final ShardBalancer balancer = new ShardBalancer(loop);
 
-  /** The first {@code ofFirst} machines are owned by the first member; zones alternate. */
+  /** Returns machines in alternating zones; the first member owns the first {@code ofFirst}. */
   private static Machines machines(int count, int ofFirst) {
     Map<String, MachineAssignment> machines = new TreeMap<>();
     for (int i = 0; i < count; i++) {
@@ -32,7 +32,7 @@
               i % 2 == 0 ? "a" : "b",
               false));
     }
-    return Machines.NONE.with(1, count, Map.of(0, new Partition(1, machines)));
+    return Machines.NONE.withNewer(1, count, Map.of(0, new Partition(1, machines)));
   }
 
   @Test
