--- a/src/main/java/org/sandford/constants/ScalingConstants.java
+++ b/src/main/java/org/sandford/constants/ScalingConstants.java
@@ -8,7 +8,7 @@
   public static final int SCALING_CHECK_MS = 500;
 
   /** Milliseconds between two readings of the machine list. */
-  public static final int MACHINE_LIST_MS = 4_000;
+  public static final int MACHINE_LIST_POLL_MS = 4_000;
 
   /** Milliseconds between two readings of instance types and prices. */
   public static final int INSTANCE_TYPES_POLL_MS = 30_000;
--- a/src/main/java/org/sandford/placement/CandidateMachine.java
+++ b/src/main/java/org/sandford/placement/CandidateMachine.java
@@ -12,14 +12,14 @@
   public record Reservation(
       String job, int rank, long acceptedAt, double cpus, double gpus, double ram) {}
 
-  private static final double[] NOTHING = new double[3];
+  private static final double[] NO_RESOURCES = new double[3];
 
   public final String machine;
   public final String owner;
-  public final String kind;
+  public final String instanceType;
   public final String zone;
   public final boolean spot;
-  public final boolean own;
+  public final boolean ownedLocally;
   public final double cpus;
   public final double gpus;
   public final double ram;
@@ -38,24 +38,24 @@
    * Makes a machine of which everything is free.
    *
    * @param owner label of the controller that owns it
-   * @param own whether this controller owns it
+   * @param ownedLocally whether this controller owns it
    */
   public CandidateMachine(
       String machine,
       String owner,
-      String kind,
+      String instanceType,
       String zone,
       boolean spot,
-      boolean own,
+      boolean ownedLocally,
       double cpus,
       double gpus,
       double ram) {
     this.machine = machine;
     this.owner = owner;
-    this.kind = kind;
+    this.instanceType = instanceType;
     this.zone = zone;
     this.spot = spot;
-    this.own = own;
+    this.ownedLocally = ownedLocally;
     this.cpus = cpus;
     this.gpus = gpus;
     this.ram = ram;
@@ -65,17 +65,22 @@
   }
 
   /** The CPUs, accelerators and memory that are reserved for jobs that go before this one. */
-  public double[] reservedForOthers(ResourceRequest need) {
+  public double[] reservedForOthers(ResourceRequest request) {
     if (reservations.isEmpty()) {
-      return NOTHING;
+      return NO_RESOURCES;
     }
     double[] sum = new double[3];
-    for (Reservation k : reservations) {
+    for (Reservation reservation : reservations) {
       if (ResourceRequest.yieldsTo(
-          need.rank(), need.acceptedAt(), need.job(), k.rank, k.acceptedAt, k.job)) {
-        sum[0] += k.cpus;
-        sum[1] += k.gpus;
-        sum[2] += k.ram;
+          request.rank(),
+          request.acceptedAt(),
+          request.job(),
+          reservation.rank,
+          reservation.acceptedAt,
+          reservation.job)) {
+        sum[0] += reservation.cpus;
+        sum[1] += reservation.gpus;
+        sum[2] += reservation.ram;
       }
     }
     return sum;
@@ -84,13 +89,13 @@
   /**
    * What is reserved for the job itself; the tasks that were preempted for it may still be there.
    */
-  public double[] reservedFor(ResourceRequest need) {
-    for (Reservation k : reservations) {
-      if (k.job.equals(need.job())) {
-        return new double[] {k.cpus, k.gpus, k.ram};
+  public double[] reservedFor(ResourceRequest request) {
+    for (Reservation reservation : reservations) {
+      if (reservation.job.equals(request.job())) {
+        return new double[] {reservation.cpus, reservation.gpus, reservation.ram};
       }
     }
-    return NOTHING;
+    return NO_RESOURCES;
   }
 
   /** Takes resources from what is free. */
--- a/src/main/java/org/sandford/placement/Planner.java
+++ b/src/main/java/org/sandford/placement/Planner.java
@@ -18,8 +18,8 @@
  * once chosen takes as many as it holds, so the cost of a plan grows with machines and not with
  * tasks.
  *
- * <p>Pure but for {@link #scored}: it reads the candidates that it is given, takes the resources of
- * a plan that it returns from them, and knows nothing else. Belongs to one thread.
+ * <p>Pure but for {@link #scoredCandidates}: it reads the candidates that it is given, takes the
+ * resources of a plan that it returns from them, and knows nothing else. Belongs to one thread.
  */
 public final class Planner {
   /** A number of tasks on one machine. */
@@ -29,11 +29,11 @@
   public record Plan(List<Slot> slots, double score, int tasks) {}
 
   /** Counts scored candidates, so that tests can hold the cost of a decision. */
-  private long scored;
+  private long scoredCandidates;
 
   /** Candidates scored so far. */
-  public long scored() {
-    return scored;
+  public long scoredCandidates() {
+    return scoredCandidates;
   }
 
   /**
@@ -49,11 +49,12 @@
       Collection<CandidateMachine> candidates,
       boolean allOrNone) {
     if (!request.sameZone()) {
-      return commit(request, count, attempt(request, count, candidates, request.zone()), allOrNone);
+      return commit(
+          request, count, draftPlan(request, count, candidates, request.zone()), allOrNone);
     }
     Plan best = null;
-    for (String zone : zonesFor(request, candidates)) {
-      Plan plan = attempt(request, count, candidates, zone);
+    for (String zone : eligibleZones(request, candidates)) {
+      Plan plan = draftPlan(request, count, candidates, zone);
       if (plan.tasks > 0
           && (best == null
               || plan.tasks > best.tasks
@@ -65,38 +66,38 @@
   }
 
   /**
-   * An upper bound on the tasks that the candidates hold, counted up to {@code enough}; spreading
+   * An upper bound on the tasks that the candidates hold, counted up to {@code limit}; spreading
    * rules are left out. It is far cheaper than a plan, which need not be tried when the bound is
    * too low.
    */
   public static int bound(
-      ResourceRequest request, int enough, Collection<CandidateMachine> candidates) {
-    int sum = 0;
+      ResourceRequest request, int limit, Collection<CandidateMachine> candidates) {
+    int bound = 0;
     for (CandidateMachine candidate : candidates) {
       if (request.allows(candidate)) {
-        sum += Math.min(enough, request.countFitting(candidate));
-        if (sum >= enough) {
-          return enough;
+        bound += Math.min(limit, request.countFitting(candidate));
+        if (bound >= limit) {
+          return limit;
         }
       }
     }
-    return sum;
+    return bound;
   }
 
   /** Zones in which a job whose tasks must share a zone may be placed: the one it has, or any. */
-  private static Set<String> zonesFor(
+  private static Set<String> eligibleZones(
       ResourceRequest request, Collection<CandidateMachine> candidates) {
-    Set<String> held = new TreeSet<>();
+    Set<String> zonesInUse = new TreeSet<>();
     request
         .tasksByZone()
         .forEach(
-            (zone, n) -> {
-              if (n > 0) {
-                held.add(zone);
+            (zone, tasks) -> {
+              if (tasks > 0) {
+                zonesInUse.add(zone);
               }
             });
-    if (!held.isEmpty()) {
-      return held.size() == 1 ? held : Set.of();
+    if (!zonesInUse.isEmpty()) {
+      return zonesInUse.size() == 1 ? zonesInUse : Set.of();
     }
     Set<String> zones = new TreeSet<>();
     candidates.forEach(candidate -> zones.add(candidate.zone));
@@ -115,28 +116,31 @@
   }
 
   /** The greedy plan in one zone, or in all when the zone is empty; takes nothing. */
-  private Plan attempt(
+  private Plan draftPlan(
       ResourceRequest request, int count, Collection<CandidateMachine> candidates, String zone) {
-    List<CandidateMachine> own = new ArrayList<>();
-    List<CandidateMachine> others = new ArrayList<>();
+    List<CandidateMachine> preferredCandidates = new ArrayList<>();
+    List<CandidateMachine> otherCandidates = new ArrayList<>();
     for (CandidateMachine candidate : candidates) {
       if (request.allows(candidate)
           && (zone.isEmpty() || zone.equals(candidate.zone))
           && request.countFitting(candidate) > 0) {
         // A service or a gang starts sooner on a machine of another shard that has its image than
         // on one of this shard that has not.
-        (candidate.own || request.prefersCachedImage() ? own : others).add(candidate);
+        (candidate.ownedLocally || request.prefersCachedImage()
+                ? preferredCandidates
+                : otherCandidates)
+            .add(candidate);
       }
     }
     Draft draft = new Draft(request, count);
-    for (List<CandidateMachine> options : List.of(own, others)) {
+    for (List<CandidateMachine> options : List.of(preferredCandidates, otherCandidates)) {
       if (request.service() || request.spreadAcrossZones()) {
         spread(draft, options);
       } else {
         pack(draft, options);
       }
     }
-    return new Plan(draft.slots, draft.score, count - draft.left);
+    return new Plan(draft.slots, draft.score, count - draft.remainingTasks);
   }
 
   /** A plan in the making. */
@@ -145,41 +149,42 @@
     final List<Slot> slots = new ArrayList<>();
 
     /** Tasks of the job by zone, those of the plan included. */
-    final Map<String, Integer> zones;
+    final Map<String, Integer> tasksByZone;
 
     /** Machines that hold tasks of the job, those of the plan included. */
-    final Set<String> machines;
+    final Set<String> machinesInUse;
 
-    final Map<CandidateMachine, Integer> taken = new HashMap<>();
+    final Map<CandidateMachine, Integer> plannedTasks = new HashMap<>();
     double score;
-    int left;
+    int remainingTasks;
 
     Draft(ResourceRequest request, int count) {
       this.request = request;
-      this.left = count;
-      this.zones = new HashMap<>(request.tasksByZone());
-      this.machines = new HashSet<>(request.machinesInUse());
+      this.remainingTasks = count;
+      this.tasksByZone = new HashMap<>(request.tasksByZone());
+      this.machinesInUse = new HashSet<>(request.machinesInUse());
     }
 
     int tasksInZone(CandidateMachine candidate) {
-      return zones.getOrDefault(candidate.zone, 0);
+      return tasksByZone.getOrDefault(candidate.zone, 0);
     }
 
     /** Tasks that the machine can take beside those that the plan has there. */
     int countFitting(CandidateMachine candidate) {
-      return request.countFitting(candidate) - taken.getOrDefault(candidate, 0);
+      return request.countFitting(candidate) - plannedTasks.getOrDefault(candidate, 0);
     }
 
     double scoreOf(CandidateMachine candidate) {
-      return Planner.score(request, candidate, zones, machines, taken.getOrDefault(candidate, 0));
+      return Planner.score(
+          request, candidate, tasksByZone, machinesInUse, plannedTasks.getOrDefault(candidate, 0));
     }
 
     void add(CandidateMachine candidate, int tasks, double slotScore) {
       slots.add(new Slot(candidate, tasks));
       score += slotScore;
-      zones.merge(candidate.zone, tasks, Integer::sum);
-      machines.add(candidate.machine);
-      left -= tasks;
+      tasksByZone.merge(candidate.zone, tasks, Integer::sum);
+      machinesInUse.add(candidate.machine);
+      remainingTasks -= tasks;
     }
   }
 
@@ -189,31 +194,31 @@
    * a new zone, and only then are they computed anew; a large array on a large cluster would
    * otherwise cost as many scores as there are pairs of slots and machines.
    */
-  private void pack(Draft draft, List<CandidateMachine> options) {
-    List<CandidateMachine> rest = options;
-    while (draft.left > 0 && !rest.isEmpty()) {
-      PriorityQueue<Scored> queue = rank(draft, rest);
-      boolean scoresHold = true;
-      while (draft.left > 0 && scoresHold && !queue.isEmpty()) {
+  private void pack(Draft draft, List<CandidateMachine> candidates) {
+    List<CandidateMachine> unusedCandidates = candidates;
+    while (draft.remainingTasks > 0 && !unusedCandidates.isEmpty()) {
+      PriorityQueue<Scored> queue = rank(draft, unusedCandidates);
+      boolean scoresValid = true;
+      while (draft.remainingTasks > 0 && scoresValid && !queue.isEmpty()) {
         Scored best = queue.poll();
         CandidateMachine candidate = best.candidate;
-        boolean firstMachine = draft.machines.isEmpty();
+        boolean firstMachine = draft.machinesInUse.isEmpty();
         boolean newZone = draft.tasksInZone(candidate) == 0;
-        scoresHold = !firstMachine && !newZone;
-        int tasks = Math.min(draft.left, draft.request.countFitting(candidate));
+        scoresValid = !firstMachine && !newZone;
+        int tasks = Math.min(draft.remainingTasks, draft.request.countFitting(candidate));
         draft.add(candidate, tasks, best.score);
       }
       List<Scored> remaining = new ArrayList<>(queue);
       remaining.sort(Comparator.comparingInt(Scored::order));
-      rest = remaining.stream().map(Scored::candidate).toList();
+      unusedCandidates = remaining.stream().map(Scored::candidate).toList();
     }
   }
 
   private PriorityQueue<Scored> rank(Draft draft, List<CandidateMachine> candidates) {
     List<Scored> ranked = new ArrayList<>(candidates.size());
     for (CandidateMachine candidate : candidates) {
-      scored++;
-      double score = score(draft.request, candidate, draft.zones, draft.machines, 0);
+      scoredCandidates++;
+      double score = score(draft.request, candidate, draft.tasksByZone, draft.machinesInUse, 0);
       ranked.add(new Scored(candidate, score, ranked.size()));
     }
     return new PriorityQueue<>(ranked);
@@ -230,34 +235,35 @@
   }
 
   /** Tasks that spread over zones: each is scored against all candidates. */
-  private void spread(Draft draft, List<CandidateMachine> options) {
+  private void spread(Draft draft, List<CandidateMachine> candidates) {
     ResourceRequest request = draft.request;
-    while (draft.left > 0) {
+    while (draft.remainingTasks > 0) {
       CandidateMachine best = null;
       double bestScore = 0;
-      int bestInZone = 0;
-      for (CandidateMachine candidate : options) {
-        int inZone = draft.tasksInZone(candidate);
-        if (inZone >= request.maxTasksPerZone() || draft.countFitting(candidate) <= 0) {
+      int bestPlacedInZone = 0;
+      for (CandidateMachine candidate : candidates) {
+        int placedInZone = draft.tasksInZone(candidate);
+        if (placedInZone >= request.maxTasksPerZone() || draft.countFitting(candidate) <= 0) {
           continue;
         }
-        scored++;
+        scoredCandidates++;
         double score = draft.scoreOf(candidate);
         // Replicas spread evenly over zones first; the score decides within a zone.
-        boolean byZone = request.service() && inZone != bestInZone;
-        if (best == null || (byZone ? inZone < bestInZone : score < bestScore)) {
+        boolean compareByZone = request.service() && placedInZone != bestPlacedInZone;
+        if (best == null || (compareByZone ? placedInZone < bestPlacedInZone : score < bestScore)) {
           best = candidate;
           bestScore = score;
-          bestInZone = inZone;
+          bestPlacedInZone = placedInZone;
         }
       }
       if (best == null) {
         return;
       }
-      int most = Math.min(draft.left, draft.countFitting(best));
-      int tasks = request.service() ? 1 : Math.min(most, request.maxTasksPerZone() - bestInZone);
+      int maxTasks = Math.min(draft.remainingTasks, draft.countFitting(best));
+      int tasks =
+          request.service() ? 1 : Math.min(maxTasks, request.maxTasksPerZone() - bestPlacedInZone);
       draft.add(best, tasks, bestScore);
-      draft.taken.merge(best, tasks, Integer::sum);
+      draft.plannedTasks.merge(best, tasks, Integer::sum);
     }
   }
 
@@ -265,31 +271,31 @@
   static double score(
       ResourceRequest request,
       CandidateMachine candidate,
-      Map<String, Integer> zones,
-      Set<String> machines,
-      int taken) {
+      Map<String, Integer> tasksByZone,
+      Set<String> machinesInUse,
+      int plannedTasks) {
     double cost = 0;
-    if (!machines.isEmpty() && !machines.contains(candidate.machine)) {
-      cost += PlacementConstants.COST_MACHINE;
+    if (!machinesInUse.isEmpty() && !machinesInUse.contains(candidate.machine)) {
+      cost += PlacementConstants.COST_EXTRA_MACHINE;
     }
-    boolean zoneHeld = zones.getOrDefault(candidate.zone, 0) > 0;
-    if (!request.service() && !machines.isEmpty() && !zoneHeld) {
-      cost += PlacementConstants.COST_ZONE;
+    boolean zoneInUse = tasksByZone.getOrDefault(candidate.zone, 0) > 0;
+    if (!request.service() && !machinesInUse.isEmpty() && !zoneInUse) {
+      cost += PlacementConstants.COST_EXTRA_ZONE;
     }
     if (!candidate.images.contains(request.image())) {
       cost +=
           request.prefersCachedImage()
-              ? PlacementConstants.COST_FETCH
-              : PlacementConstants.COST_FETCH_ARRAY;
+              ? PlacementConstants.COST_IMAGE_FETCH
+              : PlacementConstants.COST_IMAGE_FETCH_ARRAY;
     }
     if (request.spotAllowed() && !candidate.spot) {
-      cost += PlacementConstants.COST_ORDINARY;
+      cost += PlacementConstants.COST_ON_DEMAND;
     }
     boolean byGpu = candidate.gpus > 0 && request.gpus() > 0;
     double total = byGpu ? candidate.gpus : candidate.cpus;
     double requested = byGpu ? request.gpus() : request.cpus();
     double used = byGpu ? candidate.gpus - candidate.freeGpus : candidate.cpus - candidate.freeCpus;
-    double fitness = total <= 0 ? 0 : -(requested * (taken + 1) + used) / total;
-    return PlacementConstants.LAMBDA * cost + (1 - PlacementConstants.LAMBDA) * fitness;
+    double fitness = total <= 0 ? 0 : -(requested * (plannedTasks + 1) + used) / total;
+    return PlacementConstants.COST_WEIGHT * cost + (1 - PlacementConstants.COST_WEIGHT) * fitness;
   }
 }
--- a/src/main/java/org/sandford/placement/Preemption.java
+++ b/src/main/java/org/sandford/placement/Preemption.java
@@ -70,40 +70,41 @@
   public record Eviction(CandidateMachine candidate, List<Victim> victims, int tasks) {}
 
   private final ResourceRequest request;
-  private final Map<CandidateMachine, double[]> free = new LinkedHashMap<>();
+  private final Map<CandidateMachine, double[]> freeByCandidate = new LinkedHashMap<>();
   private final Map<String, CandidateMachine> candidatesByName = new HashMap<>();
   private final Map<CandidateMachine, Integer> order = new HashMap<>();
-  private final Map<String, List<Victim>> byMachine = new HashMap<>();
-  private final Map<String, Set<String>> machinesOf = new HashMap<>();
+  private final Map<String, List<Victim>> victimsByMachine = new HashMap<>();
+  private final Map<String, Set<String>> machinesByGang = new HashMap<>();
 
   /** Gangs of which a task is stopped, and so all of them: their other tasks cost nothing more. */
-  private final Set<String> stopped = new HashSet<>();
+  private final Set<String> stoppedGangs = new HashSet<>();
 
   /** The current offer of each machine; the queue has outdated ones as well. */
-  private final Map<CandidateMachine, Offer> current = new HashMap<>();
+  private final Map<CandidateMachine, Offer> currentOffers = new HashMap<>();
 
   private final PriorityQueue<Offer> offers = new PriorityQueue<>();
-  private final Map<String, Integer> zones;
+  private final Map<String, Integer> tasksByZone;
   private final Map<CandidateMachine, Eviction> evictions = new LinkedHashMap<>();
-  private String onlyZone;
+  private String requiredZone;
 
   private Preemption(
       ResourceRequest request, Collection<CandidateMachine> candidates, List<Victim> victims) {
     this.request = request;
-    this.zones = new HashMap<>(request.tasksByZone());
-    this.onlyZone = request.sameZone() ? zones.keySet().stream().findFirst().orElse("") : "";
+    this.tasksByZone = new HashMap<>(request.tasksByZone());
+    this.requiredZone =
+        request.sameZone() ? tasksByZone.keySet().stream().findFirst().orElse("") : "";
     for (Victim victim : victims) {
-      byMachine.computeIfAbsent(victim.machine, m -> new ArrayList<>()).add(victim);
+      victimsByMachine.computeIfAbsent(victim.machine, m -> new ArrayList<>()).add(victim);
       if (victim.isInGang()) {
-        machinesOf.computeIfAbsent(victim.gang, g -> new LinkedHashSet<>()).add(victim.machine);
+        machinesByGang.computeIfAbsent(victim.gang, g -> new LinkedHashSet<>()).add(victim.machine);
       }
     }
-    byMachine.values().forEach(this::sort);
+    victimsByMachine.values().forEach(this::sortVictims);
     for (CandidateMachine candidate : candidates) {
       if (request.allows(candidate)) {
-        order.put(candidate, free.size());
+        order.put(candidate, freeByCandidate.size());
         candidatesByName.put(candidate.machine, candidate);
-        free.put(candidate, freeFor(candidate));
+        freeByCandidate.put(candidate, availableTo(candidate));
       }
     }
   }
@@ -119,30 +120,30 @@
       List<Victim> victims,
       boolean allOrNone) {
     if (request.sameZone() && request.zone().isEmpty() && request.tasksByZone().isEmpty()) {
-      return cheapestZone(request, count, candidates, victims, allOrNone);
+      return chooseInCheapestZone(request, count, candidates, victims, allOrNone);
     }
-    return new Preemption(request, candidates, victims).find(count, allOrNone);
+    return new Preemption(request, candidates, victims).chooseEvictions(count, allOrNone);
   }
 
-  private List<Eviction> find(int count, boolean allOrNone) {
+  private List<Eviction> chooseEvictions(int count, boolean allOrNone) {
     // Only a machine that was chosen changes, so the others' offers are worked out once.
-    free.keySet().forEach(this::offer);
-    int left = count;
-    while (left > 0 && !offers.isEmpty()) {
+    freeByCandidate.keySet().forEach(this::updateOffer);
+    int remainingTasks = count;
+    while (remainingTasks > 0 && !offers.isEmpty()) {
       Offer best = offers.poll();
-      if (best.equals(current.get(best.candidate)) && zoneFits(best.candidate.zone)) {
-        take(best);
-        left--;
+      if (best.equals(currentOffers.get(best.candidate)) && isZoneAllowed(best.candidate.zone)) {
+        accept(best);
+        remainingTasks--;
       }
     }
-    boolean sufficient = allOrNone ? left == 0 : left < count;
+    boolean sufficient = allOrNone ? remainingTasks == 0 : remainingTasks < count;
     return sufficient ? new ArrayList<>(evictions.values()) : null;
   }
 
   /** The lowest rank first, and of it the least progress; what stops anyway before all. */
-  private void sort(List<Victim> victims) {
+  private void sortVictims(List<Victim> victims) {
     victims.sort(
-        Comparator.comparing((Victim v) -> !(v.isInGang() && stopped.contains(v.gang)))
+        Comparator.comparing((Victim v) -> !(v.isInGang() && stoppedGangs.contains(v.gang)))
             .thenComparingInt(v -> -v.rank)
             .thenComparingDouble(Victim::lossCpuS));
   }
@@ -151,104 +152,106 @@
    * The free CPUs, accelerators and memory. What is reserved for the job counts, even while those
    * who were stopped for it still leave: otherwise others would be stopped once more.
    */
-  private double[] freeFor(CandidateMachine candidate) {
-    double[] from = candidate.reservedForOthers(request);
-    double[] own = candidate.reservedFor(request);
+  private double[] availableTo(CandidateMachine candidate) {
+    double[] reservedForOthers = candidate.reservedForOthers(request);
+    double[] reservedForJob = candidate.reservedFor(request);
     return new double[] {
-      Math.max(own[0], candidate.freeCpus - from[0]),
-      Math.max(own[1], candidate.freeGpus - from[1]),
-      Math.max(own[2], candidate.freeRam - from[2])
+      Math.max(reservedForJob[0], candidate.freeCpus - reservedForOthers[0]),
+      Math.max(reservedForJob[1], candidate.freeGpus - reservedForOthers[1]),
+      Math.max(reservedForJob[2], candidate.freeRam - reservedForOthers[2])
     };
   }
 
-  private boolean zoneFits(String zone) {
-    return zones.getOrDefault(zone, 0) < request.maxTasksPerZone()
-        && (onlyZone.isEmpty() || onlyZone.equals(zone));
+  private boolean isZoneAllowed(String zone) {
+    return tasksByZone.getOrDefault(zone, 0) < request.maxTasksPerZone()
+        && (requiredZone.isEmpty() || requiredZone.equals(zone));
   }
 
-  private void take(Offer offer) {
+  private void accept(Offer offer) {
     CandidateMachine candidate = offer.candidate;
-    double[] left = free.get(candidate);
-    left[0] -= request.cpus();
-    left[1] -= request.gpus();
-    left[2] -= request.ram();
+    double[] available = freeByCandidate.get(candidate);
+    available[0] -= request.cpus();
+    available[1] -= request.gpus();
+    available[2] -= request.ram();
     for (Victim victim : offer.victimsToStop) {
-      left[0] += victim.cpus;
-      left[1] += victim.gpus;
-      left[2] += victim.ram;
-      byMachine.get(candidate.machine).remove(victim);
+      available[0] += victim.cpus;
+      available[1] += victim.gpus;
+      available[2] += victim.ram;
+      victimsByMachine.get(candidate.machine).remove(victim);
     }
     Eviction previous = evictions.getOrDefault(candidate, new Eviction(candidate, List.of(), 0));
-    List<Victim> all = new ArrayList<>(previous.victims);
-    all.addAll(offer.victimsToStop);
-    evictions.put(candidate, new Eviction(candidate, all, previous.tasks + 1));
-    zones.merge(candidate.zone, 1, Integer::sum);
+    List<Victim> victimsOnMachine = new ArrayList<>(previous.victims);
+    victimsOnMachine.addAll(offer.victimsToStop);
+    evictions.put(candidate, new Eviction(candidate, victimsOnMachine, previous.tasks + 1));
+    tasksByZone.merge(candidate.zone, 1, Integer::sum);
     if (request.sameZone()) {
-      onlyZone = candidate.zone;
+      requiredZone = candidate.zone;
     }
-    offer.victimsToStop.forEach(this::stopGroup);
-    offer(candidate);
+    offer.victimsToStop.forEach(this::stopGang);
+    updateOffer(candidate);
   }
 
   /** The other tasks of a gang stop as well, so that their machines have more to offer. */
-  private void stopGroup(Victim victim) {
-    if (victim.isInGang() && stopped.add(victim.gang)) {
-      for (String machine : machinesOf.get(victim.gang)) {
-        sort(byMachine.get(machine));
+  private void stopGang(Victim victim) {
+    if (victim.isInGang() && stoppedGangs.add(victim.gang)) {
+      for (String machine : machinesByGang.get(victim.gang)) {
+        sortVictims(victimsByMachine.get(machine));
         CandidateMachine candidate = candidatesByName.get(machine);
         if (candidate != null && !machine.equals(victim.machine)) {
-          offer(candidate);
+          updateOffer(candidate);
         }
       }
     }
   }
 
   /** Works out anew what one more task on this machine would cost. */
-  private void offer(CandidateMachine candidate) {
+  private void updateOffer(CandidateMachine candidate) {
     List<Victim> victimsToStop =
         firstSufficientVictims(
-            free.get(candidate), byMachine.getOrDefault(candidate.machine, List.of()));
+            freeByCandidate.get(candidate),
+            victimsByMachine.getOrDefault(candidate.machine, List.of()));
     if (victimsToStop == null) {
-      current.remove(candidate);
+      currentOffers.remove(candidate);
       return;
     }
-    Offer offer = new Offer(candidate, victimsToStop, loss(victimsToStop), order.get(candidate));
-    current.put(candidate, offer);
+    Offer offer =
+        new Offer(candidate, victimsToStop, additionalLoss(victimsToStop), order.get(candidate));
+    currentOffers.put(candidate, offer);
     offers.add(offer);
   }
 
   /** What is lost with these tasks: of each group once, and nothing of those that stop anyway. */
-  private double loss(List<Victim> victimsToStop) {
-    return lossOf(victimsToStop.stream(), new HashSet<>(stopped));
+  private double additionalLoss(List<Victim> victimsToStop) {
+    return lossOf(victimsToStop.stream(), new HashSet<>(stoppedGangs));
   }
 
   /** The first victims whose resources suffice for one task, or null. */
   private List<Victim> firstSufficientVictims(double[] freeResources, List<Victim> victims) {
-    double[] sum = freeResources.clone();
+    double[] available = freeResources.clone();
     List<Victim> victimsToStop = new ArrayList<>();
     for (Victim victim : victims) {
-      if (holds(sum)) {
+      if (fitsOneTask(available)) {
         return victimsToStop;
       }
       victimsToStop.add(victim);
-      sum[0] += victim.cpus;
-      sum[1] += victim.gpus;
-      sum[2] += victim.ram;
+      available[0] += victim.cpus;
+      available[1] += victim.gpus;
+      available[2] += victim.ram;
     }
-    return holds(sum) ? victimsToStop : null;
+    return fitsOneTask(available) ? victimsToStop : null;
   }
 
-  private boolean holds(double[] freeResources) {
-    double e = PlacementConstants.EPSILON;
-    return request.cpus() <= freeResources[0] + e
-        && request.gpus() <= freeResources[1] + e
-        && request.ram() <= freeResources[2] + e;
+  private boolean fitsOneTask(double[] freeResources) {
+    double epsilon = PlacementConstants.EPSILON;
+    return request.cpus() <= freeResources[0] + epsilon
+        && request.gpus() <= freeResources[1] + epsilon
+        && request.ram() <= freeResources[2] + epsilon;
   }
 
   /**
    * Tries each zone by itself: the zone of the cheapest first victim may have no room for the rest.
    */
-  private static List<Eviction> cheapestZone(
+  private static List<Eviction> chooseInCheapestZone(
       ResourceRequest request,
       int count,
       Collection<CandidateMachine> candidates,
@@ -257,7 +260,8 @@
     List<Eviction> best = null;
     for (String zone :
         candidates.stream().map(candidate -> candidate.zone).distinct().sorted().toList()) {
-      List<Eviction> found = choose(request.in(zone), count, candidates, victims, allOrNone);
+      List<Eviction> found =
+          choose(request.restrictedToZone(zone), count, candidates, victims, allOrNone);
       if (found != null && (best == null || isBetter(found, best))) {
         best = found;
       }
@@ -266,11 +270,11 @@
   }
 
   private static boolean isBetter(List<Eviction> one, List<Eviction> other) {
-    int byTasks = Integer.compare(tasks(one), tasks(other));
+    int byTasks = Integer.compare(totalTasks(one), totalTasks(other));
     return byTasks > 0 || (byTasks == 0 && totalLoss(one) < totalLoss(other));
   }
 
-  private static int tasks(List<Eviction> evictions) {
+  private static int totalTasks(List<Eviction> evictions) {
     return evictions.stream().mapToInt(Eviction::tasks).sum();
   }
 
@@ -279,9 +283,9 @@
   }
 
   /** The sum of what is lost, without the gangs that are counted already; a gang counts once. */
-  private static double lossOf(Stream<Victim> victims, Set<String> counted) {
+  private static double lossOf(Stream<Victim> victims, Set<String> countedGangs) {
     return victims
-        .filter(v -> !v.isInGang() || counted.add(v.gang))
+        .filter(v -> !v.isInGang() || countedGangs.add(v.gang))
         .mapToDouble(Victim::lossCpuS)
         .sum();
   }
--- a/src/main/java/org/sandford/placement/ResourceRequest.java
+++ b/src/main/java/org/sandford/placement/ResourceRequest.java
@@ -14,7 +14,7 @@
  * @param zone the only allowed zone, or empty
  * @param service its tasks are replicas, which spread evenly over zones
  * @param gang its tasks start together, so the last image that arrives sets the pace
- * @param total tasks of the whole job, from which the most tasks of a zone follow
+ * @param totalTasks tasks of the whole job, from which the most tasks of a zone follow
  * @param tasksByZone tasks of the job by zone that are, or may be, on machines
  * @param machinesInUse machines that hold tasks of the job
  * @param avoidedMachines machines that this job must not use
@@ -34,7 +34,7 @@
     boolean spreadAcrossZones,
     boolean service,
     boolean gang,
-    int total,
+    int totalTasks,
     Map<String, Integer> tasksByZone,
     Set<String> machinesInUse,
     Set<String> avoidedMachines,
@@ -42,7 +42,7 @@
 
   /** Whether the job allows the machine's instance type, zone and price model; resources aside. */
   public boolean allows(CandidateMachine candidate) {
-    return (allowedInstanceTypes.isEmpty() || allowedInstanceTypes.contains(candidate.kind))
+    return (allowedInstanceTypes.isEmpty() || allowedInstanceTypes.contains(candidate.instanceType))
         && (zone.isEmpty() || zone.equals(candidate.zone))
         && (spotAllowed || !candidate.spot)
         && !avoidedMachines.contains(candidate.machine);
@@ -53,11 +53,13 @@
    * It is the same order everywhere, so two jobs cannot hold for ever what the other lacks.
    */
   public static boolean yieldsTo(
-      int rank, long acceptedAt, String job, int otherRank, long otherAcceptedAt, String other) {
+      int rank, long acceptedAt, String job, int otherRank, long otherAcceptedAt, String otherJob) {
     if (rank != otherRank) {
       return rank > otherRank;
     }
-    return acceptedAt != otherAcceptedAt ? acceptedAt > otherAcceptedAt : job.compareTo(other) > 0;
+    return acceptedAt != otherAcceptedAt
+        ? acceptedAt > otherAcceptedAt
+        : job.compareTo(otherJob) > 0;
   }
 
   /**
@@ -69,7 +71,7 @@
   }
 
   /** The same with only one zone allowed. */
-  public ResourceRequest in(String onlyZone) {
+  public ResourceRequest restrictedToZone(String onlyZone) {
     return new ResourceRequest(
         job,
         rank,
@@ -84,7 +86,7 @@
         spreadAcrossZones,
         service,
         gang,
-        total,
+        totalTasks,
         tasksByZone,
         machinesInUse,
         avoidedMachines,
@@ -93,23 +95,23 @@
 
   /** How many of the tasks fit into the machine's free resources. */
   public int countFitting(CandidateMachine candidate) {
-    double e = PlacementConstants.EPSILON;
-    double[] kept = candidate.reservedForOthers(this);
-    double most = Integer.MAX_VALUE;
+    double epsilon = PlacementConstants.EPSILON;
+    double[] reserved = candidate.reservedForOthers(this);
+    double fitting = Integer.MAX_VALUE;
     if (cpus > 0) {
-      most = Math.min(most, (candidate.freeCpus - kept[0] + e) / cpus);
+      fitting = Math.min(fitting, (candidate.freeCpus - reserved[0] + epsilon) / cpus);
     }
     if (gpus > 0) {
-      most = Math.min(most, (candidate.freeGpus - kept[1] + e) / gpus);
+      fitting = Math.min(fitting, (candidate.freeGpus - reserved[1] + epsilon) / gpus);
     }
     if (ram > 0) {
-      most = Math.min(most, (candidate.freeRam - kept[2] + e) / ram);
+      fitting = Math.min(fitting, (candidate.freeRam - reserved[2] + epsilon) / ram);
     }
-    return (int) Math.max(0, Math.floor(most));
+    return (int) Math.max(0, Math.floor(fitting));
   }
 
   /** Tasks of a scattered job that one zone may hold. */
   public int maxTasksPerZone() {
-    return spreadAcrossZones ? (total + 1) / 2 : Integer.MAX_VALUE;
+    return spreadAcrossZones ? (totalTasks + 1) / 2 : Integer.MAX_VALUE;
   }
 }
--- a/src/main/java/org/sandford/scaling/Autoscaler.java
+++ b/src/main/java/org/sandford/scaling/Autoscaler.java
@@ -24,7 +24,7 @@
   private final EventLoop loop;
   private final Cluster cluster;
   private final InstanceCatalog catalog;
-  private final ClusterDemand demand;
+  private final ClusterDemand clusterDemand;
   private final InstanceInventory inventory;
   private final MachineReplacement replacement;
   private final ProvisionRequests requests;
@@ -51,7 +51,7 @@
     Settings.Operators operators = settings.operators();
     UnreachableZones zones = new UnreachableZones();
     catalog = new InstanceCatalog(loop, cloud);
-    demand = new ClusterDemand(loop, ownDemand);
+    clusterDemand = new ClusterDemand(loop, ownDemand);
     inventory = new InstanceInventory(loop, cluster, cloud, machineSnapshots, catalog);
     replacement = new MachineReplacement(cluster, links, machineSnapshots, inventory, zones);
     requests = new ProvisionRequests(loop, cluster, cloud);
@@ -84,7 +84,7 @@
    * @param from the label of the controller
    */
   public void demand(String from, List<DemandClass> classes) {
-    demand.report(from, classes);
+    clusterDemand.report(from, classes);
   }
 
   private void check() {
@@ -106,16 +106,16 @@
     }
     if (inventory.isCloudAvailable()) {
       // A released machine serves nobody, so none is released while the cloud could not take it.
-      scaleIn.releaseIdle(scaleOut.wantedMachines(), now);
-      drain.run(now, () -> !demand.current(now).isEmpty() || !requests.isEmpty());
+      scaleIn.releaseIdle(scaleOut.machinesForDemand(), now);
+      drain.run(now, () -> !clusterDemand.current(now).isEmpty() || !requests.isEmpty());
     }
   }
 
   private void provision(long now) {
-    Map<InstancePool, Integer> wanted = scaleOut.plan(demand, now);
-    if (wanted.isEmpty() || drain.cancelAll()) {
+    Map<InstancePool, Integer> machinesByPool = scaleOut.plan(clusterDemand, now);
+    if (machinesByPool.isEmpty() || drain.cancelAll()) {
       return;
     }
-    wanted.forEach((pool, machines) -> requests.provision(pool, machines, now));
+    machinesByPool.forEach((pool, machines) -> requests.provision(pool, machines, now));
   }
 }
--- a/src/main/java/org/sandford/scaling/Drain.java
+++ b/src/main/java/org/sandford/scaling/Drain.java
@@ -53,7 +53,7 @@
     }
 
     /** Whether the machine is the zone's last on-demand one, which must stay. */
-    boolean isLastOfZone(MachineSnapshot snapshot) {
+    boolean isLastOnDemandInZone(MachineSnapshot snapshot) {
       return !snapshot.spot && onDemandByZone.get(snapshot.zone) <= 1;
     }
   }
@@ -62,13 +62,13 @@
    * Cancels drains that take too long, and begins another one, on the most expensive machine for
    * its work, unless the fleet is growing.
    *
-   * @param growing whether anything waits for resources or machines are being provisioned
+   * @param isGrowing whether anything waits for resources or machines are being provisioned
    */
-  void run(long now, BooleanSupplier growing) {
-    drainingSince.keySet().removeIf(name -> !isDraining(name));
-    Fleet fleet = measure(now);
-    cancelledAt.keySet().removeIf(name -> machineSnapshots.get(name) == null);
-    if (fleet.draining >= fleet.maxConcurrentDrains() || growing.getAsBoolean()) {
+  void run(long now, BooleanSupplier isGrowing) {
+    drainingSince.keySet().removeIf(machine -> !isDraining(machine));
+    Fleet fleet = measureFleet(now);
+    cancelledAt.keySet().removeIf(machine -> machineSnapshots.get(machine) == null);
+    if (fleet.draining >= fleet.maxConcurrentDrains() || isGrowing.getAsBoolean()) {
       return;
     }
     fleet.drainable.sort(
@@ -77,7 +77,7 @@
                 -pricePerUsedCpu(fleet.candidates.get(received.snapshot().machine))));
     for (ReceivedSnapshot received : fleet.drainable) {
       MachineSnapshot snapshot = received.snapshot();
-      if (!fleet.isLastOfZone(snapshot) && fitsElsewhere(snapshot, fleet)) {
+      if (!fleet.isLastOnDemandInZone(snapshot) && fitsElsewhere(snapshot, fleet)) {
         drainingSince.put(snapshot.machine, now);
         links.request(received.owner(), new DrainMachine(snapshot.machine, true));
         return;
@@ -90,7 +90,7 @@
     return received != null && received.snapshot().draining;
   }
 
-  private Fleet measure(long now) {
+  private Fleet measureFleet(long now) {
     Fleet fleet = new Fleet();
     for (ReceivedSnapshot received : machineSnapshots.all()) {
       MachineSnapshot snapshot = received.snapshot();
@@ -105,7 +105,7 @@
         fleet.draining++;
         cancelIfOverdue(received, now);
       } else {
-        add(received, fleet, now);
+        addToFleet(received, fleet, now);
       }
     }
     return fleet;
@@ -120,7 +120,7 @@
     }
   }
 
-  private void add(ReceivedSnapshot received, Fleet fleet, long now) {
+  private void addToFleet(ReceivedSnapshot received, Fleet fleet, long now) {
     MachineSnapshot snapshot = received.snapshot();
     CandidateMachine candidate =
         catalog.candidate(snapshot.machine, snapshot.instanceType, snapshot.zone, snapshot.spot);
@@ -136,9 +136,9 @@
     if (!snapshot.spot) {
       fleet.onDemandByZone.merge(snapshot.zone, 1, Integer::sum);
     }
-    boolean littleWork =
+    boolean underutilized =
         used > 0 && used <= candidate.cpus * ScalingConstants.DRAIN_BELOW_UTILIZATION;
-    if (littleWork && !wasCancelledLately(snapshot.machine, now)) {
+    if (underutilized && !wasCancelledLately(snapshot.machine, now)) {
       fleet.drainable.add(received);
     }
   }
@@ -149,7 +149,7 @@
   }
 
   private double pricePerUsedCpu(CandidateMachine candidate) {
-    return catalog.get(candidate.kind).price(candidate.spot)
+    return catalog.get(candidate.instanceType).price(candidate.spot)
         / (candidate.cpus - candidate.freeCpus);
   }
 
@@ -180,7 +180,7 @@
 
   private static boolean takeFirstFit(TaskSnapshot task, List<FreeAmounts> machines) {
     for (FreeAmounts machine : machines) {
-      if (machine.holds(task)) {
+      if (machine.fits(task)) {
         machine.take(task);
         return true;
       }
@@ -200,7 +200,7 @@
       ram = candidate.freeRam;
     }
 
-    boolean holds(TaskSnapshot task) {
+    boolean fits(TaskSnapshot task) {
       return task.cpus <= cpus + PlacementConstants.EPSILON
           && task.gpus <= gpus + PlacementConstants.EPSILON
           && task.ram <= ram + PlacementConstants.EPSILON;
@@ -219,16 +219,16 @@
    * @return whether there were any
    */
   boolean cancelAll() {
-    boolean any = false;
+    boolean anyCancelled = false;
     for (ReceivedSnapshot received : machineSnapshots.all()) {
       MachineSnapshot snapshot = received.snapshot();
       if (snapshot.draining
           && snapshot.state == MachineState.UP
           && machineSnapshots.isFromOwner(received)) {
         links.request(received.owner(), new DrainMachine(snapshot.machine, false));
-        any = true;
+        anyCancelled = true;
       }
     }
-    return any;
+    return anyCancelled;
   }
 }
--- a/src/main/java/org/sandford/scaling/InstanceCatalog.java
+++ b/src/main/java/org/sandford/scaling/InstanceCatalog.java
@@ -33,11 +33,11 @@
     }
     reading = true;
     cloud.instanceTypes(
-        read -> {
+        types -> {
           reading = false;
-          if (read != null) {
+          if (types != null) {
             readAt = loop.millis();
-            read.forEach(instanceType -> instanceTypes.put(instanceType.kind(), instanceType));
+            types.forEach(instanceType -> instanceTypes.put(instanceType.kind(), instanceType));
           }
         });
   }
--- a/src/main/java/org/sandford/scaling/InstanceInventory.java
+++ b/src/main/java/org/sandford/scaling/InstanceInventory.java
@@ -68,18 +68,18 @@
   /** Lists the cloud's machines if the last list is old, and forgets old removals. */
   void refresh(long now) {
     if (!listing && isListOld(now)) {
-      list();
+      listInstances();
     }
     removedAt
         .values()
-        .removeIf(at -> now - at > ScalingConstants.REMOVED_MACHINE_RETENTION_S * 1000);
+        .removeIf(removed -> now - removed > ScalingConstants.REMOVED_MACHINE_RETENTION_S * 1000);
   }
 
   private boolean isListOld(long now) {
-    return listedAt.isEmpty() || now - listedAt.getAsLong() > ScalingConstants.MACHINE_LIST_MS;
+    return listedAt.isEmpty() || now - listedAt.getAsLong() > ScalingConstants.MACHINE_LIST_POLL_MS;
   }
 
-  private void list() {
+  private void listInstances() {
     listing = true;
     cloud.list(
         instances -> {
@@ -141,9 +141,9 @@
     }
     cloud.decommission(
         requested,
-        gone -> {
-          cloudAvailable = gone;
-          if (gone) {
+        decommissioned -> {
+          cloudAvailable = decommissioned;
+          if (decommissioned) {
             requested.forEach(decommissioning::remove);
             log.info("machines decommissioned machines={}", requested);
             requested.forEach(this::remove);
--- a/src/main/java/org/sandford/scaling/InstancePool.java
+++ b/src/main/java/org/sandford/scaling/InstancePool.java
@@ -7,18 +7,10 @@
  * Machines of one instance type in one zone, spot or on demand: the cloud has capacity for all of
  * them or for none.
  */
-record InstancePool(String kind, String zone, boolean spot) {
+record InstancePool(String instanceType, String zone, boolean spot) {
   /** An empty machine of the pool, as placement sees it. */
-  CandidateMachine candidate(String machine, InstanceType instanceType) {
+  CandidateMachine candidate(String machine, InstanceType type) {
     return new CandidateMachine(
-        machine,
-        "",
-        kind,
-        zone,
-        spot,
-        true,
-        instanceType.cpus(),
-        instanceType.gpus(),
-        instanceType.ram());
+        machine, "", instanceType, zone, spot, true, type.cpus(), type.gpus(), type.ram());
   }
 }
--- a/src/main/java/org/sandford/scaling/MachineReplacement.java
+++ b/src/main/java/org/sandford/scaling/MachineReplacement.java
@@ -54,7 +54,7 @@
   void replaceFailed(long now) {
     Map<String, MachineCount> countsByOwner = new HashMap<>();
     Map<String, MachineCount> countsByZone = new HashMap<>();
-    count(countsByOwner, countsByZone);
+    countMachines(countsByOwner, countsByZone);
     zones.update(countsByZone, now);
     int quarantined = 0;
     List<String> lost = new ArrayList<>();
@@ -65,7 +65,7 @@
       }
       if (snapshot.state == MachineState.LOST) {
         if (!zones.keepsLostMachines(snapshot.zone, now)
-            && !isOtherOwnerTried(received, countsByOwner, now)) {
+            && !tryOtherOwner(received, countsByOwner, now)) {
           // Its owner does not release it: while the cloud takes no requests, it serves again when
           // it comes back.
           lost.add(snapshot.machine);
@@ -77,12 +77,12 @@
         links.request(received.owner(), new DecommissionMachine(snapshot.machine, true));
       }
     }
-    reassignedAt.values().removeIf(at -> now - at > REASSIGN_RETENTION_MS);
+    reassignedAt.values().removeIf(reassigned -> now - reassigned > REASSIGN_RETENTION_MS);
     inventory.decommission(lost);
   }
 
   /** Counts the machines that came up, and how many of them are lost. */
-  private void count(
+  private void countMachines(
       Map<String, MachineCount> countsByOwner, Map<String, MachineCount> countsByZone) {
     for (MachineSnapshots.ReceivedSnapshot received : machineSnapshots.all()) {
       MachineSnapshot snapshot = received.snapshot();
@@ -99,7 +99,7 @@
    * Whether a lost machine is left to another owner first. When most machines of one owner are
    * lost, rather the owner is partitioned than so many machines, and another one may reach them.
    */
-  private boolean isOtherOwnerTried(
+  private boolean tryOtherOwner(
       MachineSnapshots.ReceivedSnapshot received,
       Map<String, MachineCount> countsByOwner,
       long now) {
@@ -107,7 +107,7 @@
     Long reassigned = reassignedAt.get(machine);
     if (isPartitioned(received.owner(), countsByOwner)
         && (reassigned == null || now - reassigned > REASSIGN_INTERVAL_MS)) {
-      String newOwner = ownerOfFewest(received.owner());
+      String newOwner = memberWithFewestMachines(received.owner());
       if (!newOwner.isEmpty()) {
         reassignedAt.put(machine, now);
         cluster.moveMachine(machine, newOwner);
@@ -126,7 +126,7 @@
   }
 
   /** The member with the fewest machines other than this one, or an empty text if there is none. */
-  private String ownerOfFewest(String excludedLabel) {
+  private String memberWithFewestMachines(String excludedLabel) {
     String best = "";
     int fewest = Integer.MAX_VALUE;
     for (String member : cluster.memberIds()) {
--- a/src/main/java/org/sandford/scaling/ProvisionRequests.java
+++ b/src/main/java/org/sandford/scaling/ProvisionRequests.java
@@ -67,7 +67,8 @@
       InstancePool pool = request.pool;
       for (int i = 0; i < request.machines; i++) {
         candidates.add(
-            catalog.candidate(request.name + "/" + i, pool.kind(), pool.zone(), pool.spot()));
+            catalog.candidate(
+                request.name + "/" + i, pool.instanceType(), pool.zone(), pool.spot()));
       }
     }
   }
@@ -91,7 +92,7 @@
     log.info(
         "machines requested count={} instance_type={} zone={} spot={}",
         machines,
-        pool.kind(),
+        pool.instanceType(),
         pool.zone(),
         pool.spot());
     send(request);
@@ -100,15 +101,15 @@
   private void send(ProvisionRequest request) {
     cloud.provision(
         request.name,
-        request.pool.kind(),
+        request.pool.instanceType(),
         request.pool.zone(),
         request.pool.spot(),
         request.machines,
-        (outcome, hosts) -> handleOutcome(request, outcome, hosts));
+        (outcome, machineNames) -> handleOutcome(request, outcome, machineNames));
   }
 
   private void handleOutcome(
-      ProvisionRequest request, ProvisionOutcome outcome, List<String> hosts) {
+      ProvisionRequest request, ProvisionOutcome outcome, List<String> machineNames) {
     long now = loop.millis();
     if (outcome == ProvisionOutcome.UNKNOWN
         && pending.containsKey(request.name)
@@ -121,13 +122,14 @@
     InstancePool pool = request.pool;
     boolean provisioned = outcome == ProvisionOutcome.PROVISIONED;
     if (provisioned) {
-      hosts.forEach(
-          host ->
+      machineNames.forEach(
+          machineName ->
               cluster.addMachine(
-                  new Cluster.NewMachine(host, "", pool.kind(), pool.zone(), pool.spot())));
+                  new Cluster.NewMachine(
+                      machineName, "", pool.instanceType(), pool.zone(), pool.spot())));
     }
     if (outcome == ProvisionOutcome.NO_CAPACITY
-        || (provisioned && hosts.size() < request.machines)) {
+        || (provisioned && machineNames.size() < request.machines)) {
       poolBackoffUntil.put(pool, now + ScalingConstants.POOL_BACKOFF_MS);
     } else if (outcome == ProvisionOutcome.NOT_EXECUTED) {
       backoffUntil = now + NOT_EXECUTED_BACKOFF_MS;
--- a/src/main/java/org/sandford/scaling/ScaleIn.java
+++ b/src/main/java/org/sandford/scaling/ScaleIn.java
@@ -51,18 +51,18 @@
   }
 
   /** Releases idle machines other than those that the last scale-out plan wants. */
-  void releaseIdle(Set<String> wantedMachines, long now) {
+  void releaseIdle(Set<String> machinesForDemand, long now) {
     Usage usage = measure(now);
     double headroom = ScalingConstants.HEADROOM_SHARE * usage.totalCpus;
     usage.idle.sort(Comparator.comparingDouble((ReceivedSnapshot idle) -> -pricePerCpu(idle)));
     for (ReceivedSnapshot received : usage.idle) {
       MachineSnapshot snapshot = received.snapshot();
       double cpus = catalog.get(snapshot.instanceType).cpus();
-      boolean lastOfZone =
+      boolean lastOnDemandInZone =
           !snapshot.spot && usage.onDemandByZone.getOrDefault(snapshot.zone, 0) <= 1;
-      if (lastOfZone
+      if (lastOnDemandInZone
           || usage.freeCpus - cpus < headroom
-          || wantedMachines.contains(snapshot.machine)) {
+          || machinesForDemand.contains(snapshot.machine)) {
         continue;
       }
       usage.freeCpus -= cpus;
@@ -75,7 +75,7 @@
 
   private Usage measure(long now) {
     Usage usage = new Usage();
-    idleSince.keySet().removeIf(name -> machineSnapshots.get(name) == null);
+    idleSince.keySet().removeIf(machine -> machineSnapshots.get(machine) == null);
     for (ReceivedSnapshot received : machineSnapshots.all()) {
       MachineSnapshot snapshot = received.snapshot();
       InstanceType instanceType = catalog.get(snapshot.instanceType);
--- a/src/main/java/org/sandford/scaling/ScaleOut.java
+++ b/src/main/java/org/sandford/scaling/ScaleOut.java
@@ -26,7 +26,7 @@
   private final InstanceInventory inventory;
   private final UnreachableZones zones;
   private final ProvisionRequests requests;
-  private Set<String> wantedMachines = Set.of();
+  private Set<String> machinesForDemand = Set.of();
 
   ScaleOut(
       Settings.Operators operators,
@@ -46,8 +46,8 @@
   }
 
   /** Machines on which the last plan placed waiting tasks; they are not to be decommissioned. */
-  Set<String> wantedMachines() {
-    return wantedMachines;
+  Set<String> machinesForDemand() {
+    return machinesForDemand;
   }
 
   /** How many machines of each pool the demand needs beyond those that there are. */
@@ -62,17 +62,18 @@
             operators.useSpot(),
             pool -> !zones.isUnreachable(pool.zone(), now) && !requests.isExhausted(pool, now));
     ScaleOutPlanner planner =
-        new ScaleOutPlanner(market, supply(), operators.maxMachines() - machines);
-    Map<InstancePool, Integer> wanted = planner.provisionFor(demand.current(now));
-    wantedMachines = planner.wantedMachines();
-    return wanted;
+        new ScaleOutPlanner(
+            market, currentAndPendingMachines(), operators.maxMachines() - machines);
+    Map<InstancePool, Integer> machinesByPool = planner.plan(demand.current(now));
+    machinesForDemand = planner.machinesForDemand();
+    return machinesByPool;
   }
 
   /** Machines that serve or will: those that are up or boot, and those of pending requests. */
-  private List<CandidateMachine> supply() {
+  private List<CandidateMachine> currentAndPendingMachines() {
     List<CandidateMachine> candidates = new ArrayList<>();
     for (Map.Entry<String, MachineAssignment> entry : cluster.machines().of().entrySet()) {
-      addIfServing(candidates, entry.getKey(), entry.getValue());
+      addIfUsable(candidates, entry.getKey(), entry.getValue());
     }
     for (Cluster.NewMachine added : cluster.machinesBeingAdded()) {
       if (catalog.get(added.kind()) != null) {
@@ -83,7 +84,7 @@
     return candidates;
   }
 
-  private void addIfServing(
+  private void addIfUsable(
       List<CandidateMachine> candidates, String name, MachineAssignment assignment) {
     if (catalog.get(assignment.kind()) == null || inventory.isDecommissioning(name)) {
       return;
--- a/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
+++ b/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
@@ -41,17 +41,17 @@
   /** CPUs of the fleet and of what is wanted: of equal prices, the zone with fewer is taken. */
   private final Map<String, Double> cpusByZone = new HashMap<>();
 
-  private final Map<InstancePool, Integer> wanted = new LinkedHashMap<>();
-  private final Set<String> wantedMachines = new HashSet<>();
+  private final Map<InstancePool, Integer> machinesByPool = new LinkedHashMap<>();
+  private final Set<String> machinesForDemand = new HashSet<>();
 
   /** How many more machines the operators allow. */
-  private int remaining;
+  private int remainingMachines;
 
   /** A plan for one moment; it takes from the candidates. */
-  ScaleOutPlanner(Market market, List<CandidateMachine> candidates, int remaining) {
+  ScaleOutPlanner(Market market, List<CandidateMachine> candidates, int remainingMachines) {
     this.market = market;
     this.candidates = new ArrayList<>(candidates);
-    this.remaining = remaining;
+    this.remainingMachines = remainingMachines;
     // Machines that are in use are filled first, so that idle ones can be decommissioned.
     this.candidates.sort(
         Comparator.comparingDouble(
@@ -60,32 +60,32 @@
   }
 
   /** How many machines of each pool to provision for the demand, which comes in order of rank. */
-  Map<InstancePool, Integer> provisionFor(List<DemandClass> demand) {
-    demand.forEach(this::supply);
-    if (wanted.isEmpty()) {
+  Map<InstancePool, Integer> plan(List<DemandClass> demand) {
+    demand.forEach(this::planFor);
+    if (machinesByPool.isEmpty()) {
       addHeadroom();
     }
-    return wanted;
+    return machinesByPool;
   }
 
   /** Machines, existing or new, on which the demand was placed. */
-  Set<String> wantedMachines() {
-    return wantedMachines;
+  Set<String> machinesForDemand() {
+    return machinesForDemand;
   }
 
-  private void supply(DemandClass waiting) {
-    ResourceRequest request = inItsZone(request(waiting), waiting.tasks);
-    int left = waiting.tasks - fill(request, waiting.tasks, candidates);
-    while (left > 0 && remaining > 0) {
-      InstancePool pool = cheapest(request, left);
+  private void planFor(DemandClass demandClass) {
+    ResourceRequest request = restrictToOneZone(request(demandClass), demandClass.tasks);
+    int remainingTasks = demandClass.tasks - placeFirstFit(request, demandClass.tasks, candidates);
+    while (remainingTasks > 0 && remainingMachines > 0) {
+      InstancePool pool = cheapestPool(request, remainingTasks);
       if (pool == null) {
         return;
       }
-      int more = fill(request, left, List.of(addWanted(pool)));
-      if (more == 0) {
+      int placed = placeFirstFit(request, remainingTasks, List.of(addMachine(pool)));
+      if (placed == 0) {
         return;
       }
-      left -= more;
+      remainingTasks -= placed;
     }
   }
 
@@ -100,49 +100,50 @@
       total += candidate.cpus;
       free += candidate.spot ? 0 : Math.max(0, candidate.freeCpus);
     }
-    ResourceRequest any =
+    ResourceRequest oneCpuRequest =
         new ResourceRequest(
             "", 0, 0, 1, 0, 1, Set.of(), "", false, false, false, false, false, 1, Map.of(),
             Set.of(), Set.of(), "");
-    while (free < ScalingConstants.HEADROOM_SHARE * total && remaining > 0) {
-      InstancePool pool = cheapest(any, ScalingConstants.HEADROOM_TASKS);
+    while (free < ScalingConstants.HEADROOM_SHARE * total && remainingMachines > 0) {
+      InstancePool pool = cheapestPool(oneCpuRequest, ScalingConstants.HEADROOM_TASKS);
       if (pool == null) {
         return;
       }
-      free += addWanted(pool).cpus;
+      free += addMachine(pool).cpus;
     }
   }
 
-  private static ResourceRequest request(DemandClass d) {
+  private static ResourceRequest request(DemandClass demandClass) {
     return new ResourceRequest(
         "",
-        d.rank,
+        demandClass.rank,
         0,
-        d.cpus,
-        d.gpus,
-        d.ram,
-        Set.copyOf(d.instanceTypes),
-        d.zone,
-        d.spotAllowed,
-        d.sameZone,
-        d.spreadAcrossZones,
-        d.service,
+        demandClass.cpus,
+        demandClass.gpus,
+        demandClass.ram,
+        Set.copyOf(demandClass.instanceTypes),
+        demandClass.zone,
+        demandClass.spotAllowed,
+        demandClass.sameZone,
+        demandClass.spreadAcrossZones,
+        demandClass.service,
         false,
-        d.total,
-        d.placedByZone,
+        demandClass.total,
+        demandClass.placedByZone,
         Set.of(),
         Set.of(),
         "");
   }
 
   /** Adds one machine of the pool to the wanted ones and to the candidates. */
-  private CandidateMachine addWanted(InstancePool pool) {
-    CandidateMachine fresh =
-        pool.candidate("new/" + remaining--, market.instanceTypes().get(pool.kind()));
-    wanted.merge(pool, 1, Integer::sum);
-    cpusByZone.merge(pool.zone(), fresh.cpus, Double::sum);
-    candidates.add(fresh);
-    return fresh;
+  private CandidateMachine addMachine(InstancePool pool) {
+    CandidateMachine machine =
+        pool.candidate(
+            "new/" + remainingMachines--, market.instanceTypes().get(pool.instanceType()));
+    machinesByPool.merge(pool, 1, Integer::sum);
+    cpusByZone.merge(pool.zone(), machine.cpus, Double::sum);
+    candidates.add(machine);
+    return machine;
   }
 
   /**
@@ -150,32 +151,34 @@
    * the one with the most free resources in which the rest can be provisioned. Machines provisioned
    * in several zones would stay idle.
    */
-  private ResourceRequest inItsZone(ResourceRequest request, int count) {
+  private ResourceRequest restrictToOneZone(ResourceRequest request, int count) {
     if (!request.sameZone() || !request.zone().isEmpty()) {
       return request;
     }
     if (!request.tasksByZone().isEmpty()) {
-      return request.in(request.tasksByZone().keySet().iterator().next());
+      return request.restrictedToZone(request.tasksByZone().keySet().iterator().next());
     }
-    Map<String, Integer> fits = new TreeMap<>();
+    Map<String, Integer> fittingByZone = new TreeMap<>();
     market
         .instanceTypes()
         .values()
-        .forEach(instanceType -> instanceType.zones().forEach(zone -> fits.put(zone, 0)));
+        .forEach(instanceType -> instanceType.zones().forEach(zone -> fittingByZone.put(zone, 0)));
     for (CandidateMachine candidate : candidates) {
       if (request.allows(candidate)) {
-        fits.merge(candidate.zone, Math.min(count, request.countFitting(candidate)), Integer::sum);
+        fittingByZone.merge(
+            candidate.zone, Math.min(count, request.countFitting(candidate)), Integer::sum);
       }
     }
-    List<String> zones = new ArrayList<>(fits.keySet());
-    zones.sort(Comparator.comparingInt((String zone) -> -fits.get(zone)));
+    List<String> zones = new ArrayList<>(fittingByZone.keySet());
+    zones.sort(Comparator.comparingInt((String zone) -> -fittingByZone.get(zone)));
     for (String zone : zones) {
-      int left = count - fits.get(zone);
-      if (left <= 0 || cheapest(request.in(zone), left) != null) {
-        return request.in(zone);
+      int remainingTasks = count - fittingByZone.get(zone);
+      if (remainingTasks <= 0
+          || cheapestPool(request.restrictedToZone(zone), remainingTasks) != null) {
+        return request.restrictedToZone(zone);
       }
     }
-    return zones.isEmpty() ? request : request.in(zones.get(0));
+    return zones.isEmpty() ? request : request.restrictedToZone(zones.get(0));
   }
 
   /**
@@ -183,30 +186,32 @@
    * what has to be provisioned, so it does without the score: one check of each machine for a whole
    * class.
    */
-  private int fill(ResourceRequest request, int count, List<CandidateMachine> candidates) {
-    Map<String, Integer> zones = new HashMap<>(request.tasksByZone());
-    int left = count;
+  private int placeFirstFit(ResourceRequest request, int count, List<CandidateMachine> candidates) {
+    Map<String, Integer> tasksByZone = new HashMap<>(request.tasksByZone());
+    int remainingTasks = count;
     for (CandidateMachine candidate : candidates) {
-      if (left == 0) {
+      if (remainingTasks == 0) {
         break;
       }
       if (!request.allows(candidate)) {
         continue;
       }
-      int remaining =
-          Math.min(left, request.maxTasksPerZone() - zones.getOrDefault(candidate.zone, 0));
-      int tasks = Math.min(remaining, request.countFitting(candidate));
+      int maxTasks =
+          Math.min(
+              remainingTasks,
+              request.maxTasksPerZone() - tasksByZone.getOrDefault(candidate.zone, 0));
+      int tasks = Math.min(maxTasks, request.countFitting(candidate));
       if (tasks > 0) {
         candidate.take(tasks * request.cpus(), tasks * request.gpus(), tasks * request.ram());
-        zones.merge(candidate.zone, tasks, Integer::sum);
-        wantedMachines.add(candidate.machine);
-        left -= tasks;
+        tasksByZone.merge(candidate.zone, tasks, Integer::sum);
+        machinesForDemand.add(candidate.machine);
+        remainingTasks -= tasks;
       }
     }
-    return count - left;
+    return count - remainingTasks;
   }
 
-  private InstancePool cheapest(ResourceRequest request, int left) {
+  private InstancePool cheapestPool(ResourceRequest request, int remainingTasks) {
     InstancePool best = null;
     double bestPrice = 0;
     double bestZoneCpus = 0;
@@ -215,15 +220,18 @@
         for (boolean spot : new boolean[] {true, false}) {
           InstancePool pool = new InstancePool(instanceType.kind(), zone, spot);
           CandidateMachine candidate = pool.candidate("", instanceType);
-          int fits = Math.min(left, request.countFitting(candidate));
+          int fittingTasks = Math.min(remainingTasks, request.countFitting(candidate));
           boolean zoneFull =
               request.tasksByZone().getOrDefault(zone, 0) >= request.maxTasksPerZone();
           boolean suitable =
-              request.allows(candidate) && fits > 0 && !zoneFull && (!spot || market.useSpot());
+              request.allows(candidate)
+                  && fittingTasks > 0
+                  && !zoneFull
+                  && (!spot || market.useSpot());
           if (!suitable || !market.mayProvision().test(pool)) {
             continue;
           }
-          double price = instanceType.price(spot) / fits;
+          double price = instanceType.price(spot) / fittingTasks;
           double zoneCpus = cpusByZone.getOrDefault(zone, 0.0);
           boolean better =
               best == null
--- a/src/test/java/org/sandford/placement/PlannerTest.java
+++ b/src/test/java/org/sandford/placement/PlannerTest.java
@@ -15,15 +15,15 @@
 
 class PlannerTest {
   private static CandidateMachine candidate(
-      String name, String zone, double cpus, double used, boolean own) {
+      String name, String zone, double cpus, double usedCpus, boolean own) {
     CandidateMachine candidate =
         new CandidateMachine(name, "c0", "m", zone, false, own, cpus, 0, 64);
-    candidate.take(used, 0, 0);
+    candidate.take(usedCpus, 0, 0);
     return candidate;
   }
 
-  private static ResourceRequest need(
-      double cpus, int total, boolean spreadAcrossZones, boolean sameZone, boolean standing) {
+  private static ResourceRequest request(
+      double cpus, int total, boolean spreadAcrossZones, boolean sameZone, boolean service) {
     return new ResourceRequest(
         "wk-1",
         1,
@@ -36,7 +36,7 @@
         false,
         sameZone,
         spreadAcrossZones,
-        standing,
+        service,
         false,
         total,
         Map.of(),
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void noPlanBreaksRoomScatterOrTogether() {
+  void randomPlansRespectFreeResourcesAndZoneRules() {
     for (int seed = 0; seed < 400; seed++) {
       Random random = new Random(seed);
       List<CandidateMachine> candidates = new ArrayList<>();
@@ -65,61 +65,66 @@
       }
       boolean spreadAcrossZones = random.nextBoolean();
       int tasks = 1 + random.nextInt(20);
-      ResourceRequest need =
-          need(
+      ResourceRequest request =
+          request(
               1 + random.nextInt(4),
               tasks,
               spreadAcrossZones,
               !spreadAcrossZones && random.nextBoolean(),
               random.nextBoolean());
-      boolean whole = random.nextBoolean();
-      Planner.Plan plan = new Planner().place(need, tasks, candidates, whole);
+      boolean allOrNone = random.nextBoolean();
+      Planner.Plan plan = new Planner().place(request, tasks, candidates, allOrNone);
       if (plan == null) {
         candidates.forEach(
-            r ->
+            candidate ->
                 assertEquals(
-                    freeBefore.get(r.machine), r.freeCpus, "a plan that failed took room"));
+                    freeBefore.get(candidate.machine),
+                    candidate.freeCpus,
+                    "a plan that failed took room"));
         continue;
       }
       Map<String, Integer> zones = new HashMap<>();
-      plan.slots().forEach(s -> zones.merge(s.candidate().zone, s.tasks(), Integer::sum));
+      plan.slots().forEach(slot -> zones.merge(slot.candidate().zone, slot.tasks(), Integer::sum));
       int placed = plan.slots().stream().mapToInt(Planner.Slot::tasks).sum();
       assertEquals(plan.tasks(), placed);
-      assertTrue(placed <= tasks && (!whole || placed == tasks), "seed " + seed);
+      assertTrue(placed <= tasks && (!allOrNone || placed == tasks), "seed " + seed);
       candidates.forEach(
-          r -> assertTrue(r.freeCpus > -1e-6 && r.freeRam > -1e-6, "room of " + r.machine));
+          candidate ->
+              assertTrue(
+                  candidate.freeCpus > -1e-6 && candidate.freeRam > -1e-6,
+                  "room of " + candidate.machine));
       for (int inZone : zones.values()) {
-        assertTrue(inZone <= need.maxTasksPerZone(), "scatter, seed " + seed);
+        assertTrue(inZone <= request.maxTasksPerZone(), "scatter, seed " + seed);
       }
-      assertTrue(!need.sameZone() || zones.size() == 1, "together, seed " + seed);
+      assertTrue(!request.sameZone() || zones.size() == 1, "together, seed " + seed);
     }
   }
 
   @Test
-  void withoutAPlaceForAllNoneStart() {
+  void allOrNoneReturnsNoPlanUnlessEveryTaskFits() {
     assertNull(
         new Planner()
             .place(
-                need(4, 3, false, false, false),
+                request(4, 3, false, false, false),
                 3,
                 List.of(candidate("n0", "a", 8, 0, true)),
                 true));
     assertNotNull(
         new Planner()
             .place(
-                need(4, 2, false, false, false),
+                request(4, 2, false, false, false),
                 2,
                 List.of(candidate("n0", "a", 8, 0, true)),
                 true));
   }
 
   @Test
-  void theFullerMachineScoresLower() {
+  void prefersTheMachineWithHigherUtilization() {
     CandidateMachine fuller = candidate("fuller", "a", 16, 8, true);
     Planner.Plan plan =
         new Planner()
             .place(
-                need(2, 1, false, false, false),
+                request(2, 1, false, false, false),
                 1,
                 List.of(candidate("empty", "a", 16, 0, true), fuller),
                 true);
@@ -127,11 +132,11 @@
   }
 
   @Test
-  void theOwnShareComesFirst() {
+  void prefersMachinesOfTheOwnShard() {
     Planner.Plan plan =
         new Planner()
             .place(
-                need(2, 1, false, false, false),
+                request(2, 1, false, false, false),
                 1,
                 List.of(candidate("other", "a", 16, 8, false), candidate("own", "a", 16, 0, true)),
                 true);
@@ -139,7 +144,7 @@
   }
 
   @Test
-  void theCostOfADecisionGrowsWithMachinesAndNotWithTasks() {
+  void scoredCandidatesDoNotGrowWithTheNumberOfTasks() {
     List<CandidateMachine> candidates = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       candidates.add(
@@ -147,8 +152,10 @@
     }
     Planner planner = new Planner();
     Planner.Plan plan =
-        planner.place(need(1, 100_000, false, false, false), 100_000, candidates, true);
+        planner.place(request(1, 100_000, false, false, false), 100_000, candidates, true);
     assertEquals(100_000, plan.tasks());
-    assertTrue(planner.scored() <= 40L * 40, "scored " + planner.scored() + " candidates");
+    assertTrue(
+        planner.scoredCandidates() <= 40L * 40,
+        "scored " + planner.scoredCandidates() + " candidates");
   }
 }
--- a/src/test/java/org/sandford/placement/PreemptionTest.java
+++ b/src/test/java/org/sandford/placement/PreemptionTest.java
@@ -10,12 +10,12 @@
 import org.sandford.placement.Preemption.Victim;
 
 class PreemptionTest {
-  private static final ResourceRequest NEED =
+  private static final ResourceRequest REQUEST =
       new ResourceRequest(
           "wk-9", 1, 50, 4, 0, 1, Set.of(), "", false, false, false, false, false, 2, Map.of(),
           Set.of(), Set.of(), "");
 
-  private static CandidateMachine full(String name) {
+  private static CandidateMachine fullMachine(String name) {
     CandidateMachine candidate = new CandidateMachine(name, "c0", "m", "a", false, true, 8, 0, 64);
     candidate.take(8, 0, 8);
     return candidate;
@@ -26,96 +26,103 @@
   }
 
   @Test
-  void theLeastProgressIsLost() {
+  void preemptsTheTaskWithTheLeastProgress() {
     List<Victim> victims = List.of(victim("n0", 0, 2, 4, 50), victim("n1", 1, 2, 4, 5));
-    List<Preemption.Eviction> out =
-        Preemption.choose(NEED, 1, List.of(full("n0"), full("n1")), victims, true);
-    assertEquals(1, out.size());
-    assertEquals("n1", out.get(0).candidate().machine);
+    List<Preemption.Eviction> evictions =
+        Preemption.choose(REQUEST, 1, List.of(fullMachine("n0"), fullMachine("n1")), victims, true);
+    assertEquals(1, evictions.size());
+    assertEquals("n1", evictions.get(0).candidate().machine);
   }
 
   @Test
-  void theLowestRankOfAMachineGoesFirst() {
+  void preemptsTheLowestRankOfAMachineFirst() {
     List<Victim> victims = List.of(victim("n0", 0, 2, 4, 1), victim("n0", 1, 3, 4, 90));
-    List<Preemption.Eviction> out = Preemption.choose(NEED, 1, List.of(full("n0")), victims, true);
-    assertEquals(1, out.get(0).victims().get(0).task());
+    List<Preemption.Eviction> evictions =
+        Preemption.choose(REQUEST, 1, List.of(fullMachine("n0")), victims, true);
+    assertEquals(1, evictions.get(0).victims().get(0).task());
   }
 
   @Test
-  void whatIsKeptForTheJobIsNotMadeOnceMore() {
-    CandidateMachine candidate = full("n0");
+  void preemptsNothingWhereResourcesAreAlreadyReservedForTheJob() {
+    CandidateMachine candidate = fullMachine("n0");
     candidate.reservations = List.of(new CandidateMachine.Reservation("wk-9", 1, 50, 4, 0, 1));
-    List<Preemption.Eviction> out =
-        Preemption.choose(NEED, 1, List.of(candidate), List.of(victim("n0", 0, 2, 4, 1)), true);
-    assertEquals(List.of(), out.get(0).victims());
+    List<Preemption.Eviction> evictions =
+        Preemption.choose(REQUEST, 1, List.of(candidate), List.of(victim("n0", 0, 2, 4, 1)), true);
+    assertEquals(List.of(), evictions.get(0).victims());
   }
 
   @Test
-  void keptRoomIsLeftToThoseThatGoBefore() {
+  void leavesReservedResourcesToJobsThatGoFirst() {
     CandidateMachine candidate = new CandidateMachine("n0", "c0", "m", "a", false, true, 8, 0, 64);
     candidate.reservations =
         List.of(
             new CandidateMachine.Reservation("wk-1", 1, 40, 4, 0, 1),
             new CandidateMachine.Reservation("wk-2", 1, 60, 4, 0, 1));
-    assertEquals(1, NEED.countFitting(candidate), "one went before, the other after");
+    assertEquals(1, REQUEST.countFitting(candidate), "one went before, the other after");
   }
 
-  private static Victim ofGang(String machine, int task, double lossCpuS) {
+  private static Victim gangVictim(String machine, int task, double lossCpuS) {
     return new Victim(machine, "t", "wk-2", task, 7, 2, 4, 0, 1, 0).inGang("wk-2@7", lossCpuS);
   }
 
   @Test
-  void aGangIsStoppedAsAWholeOrNotAtAll() {
-    List<CandidateMachine> candidates = List.of(full("n0"), full("n1"), full("n2"), full("n3"));
+  void countsTheLossOfAWholeGang() {
+    List<CandidateMachine> candidates =
+        List.of(fullMachine("n0"), fullMachine("n1"), fullMachine("n2"), fullMachine("n3"));
     List<Victim> victims =
         List.of(
             victim("n0", 0, 2, 4, 20),
-            ofGang("n1", 0, 100),
+            gangVictim("n1", 0, 100),
             victim("n2", 1, 2, 4, 22),
-            ofGang("n3", 1, 100));
-    List<Preemption.Eviction> one = Preemption.choose(NEED, 1, candidates, victims, true);
+            gangVictim("n3", 1, 100));
+    List<Preemption.Eviction> one = Preemption.choose(REQUEST, 1, candidates, victims, true);
     assertEquals("n0", one.get(0).candidate().machine, "80 for the array, 100 for the gang");
-    List<Preemption.Eviction> two = Preemption.choose(NEED, 2, candidates, victims, true);
+    List<Preemption.Eviction> two = Preemption.choose(REQUEST, 2, candidates, victims, true);
     assertEquals(
         List.of("n0", "n2"),
-        two.stream().map(e -> e.candidate().machine).toList(),
+        two.stream().map(eviction -> eviction.candidate().machine).toList(),
         "taken one by one");
-    List<Preemption.Eviction> four = Preemption.choose(NEED, 4, candidates, victims, true);
+    List<Preemption.Eviction> four = Preemption.choose(REQUEST, 4, candidates, victims, true);
     assertEquals(4, four.size());
   }
 
   @Test
-  void theOtherTasksOfAStoppedGangCostNothingMore() {
-    List<CandidateMachine> candidates = List.of(full("n1"), full("n2"), full("n3"));
+  void countsTheLossOfAGangOnce() {
+    List<CandidateMachine> candidates =
+        List.of(fullMachine("n1"), fullMachine("n2"), fullMachine("n3"));
     List<Victim> victims =
-        List.of(ofGang("n1", 0, 100), victim("n2", 1, 2, 4, 26), ofGang("n3", 1, 100));
-    List<Preemption.Eviction> two = Preemption.choose(NEED, 2, candidates, victims, true);
-    assertEquals(List.of("n1", "n3"), two.stream().map(e -> e.candidate().machine).toList());
+        List.of(gangVictim("n1", 0, 100), victim("n2", 1, 2, 4, 26), gangVictim("n3", 1, 100));
+    List<Preemption.Eviction> two = Preemption.choose(REQUEST, 2, candidates, victims, true);
+    assertEquals(
+        List.of("n1", "n3"), two.stream().map(eviction -> eviction.candidate().machine).toList());
   }
 
   @Test
-  void aJobThatMustStayTogetherTakesAZoneThatHoldsAll() {
+  void choosesAZoneThatHoldsTheWholeJob() {
     ResourceRequest sameZone =
         new ResourceRequest(
             "wk-9", 1, 50, 4, 0, 1, Set.of(), "", false, true, false, false, true, 2, Map.of(),
             Set.of(), Set.of(), "");
-    List<CandidateMachine> candidates = List.of(full("n0"), inZone("n1", "b"), inZone("n2", "b"));
+    List<CandidateMachine> candidates =
+        List.of(fullMachine("n0"), fullMachineInZone("n1", "b"), fullMachineInZone("n2", "b"));
     List<Victim> victims =
         List.of(victim("n0", 0, 2, 4, 1), victim("n1", 1, 2, 4, 50), victim("n2", 2, 2, 4, 50));
-    List<Preemption.Eviction> out = Preemption.choose(sameZone, 2, candidates, victims, true);
+    List<Preemption.Eviction> evictions = Preemption.choose(sameZone, 2, candidates, victims, true);
     assertEquals(
-        List.of("n1", "n2"), out.stream().map(e -> e.candidate().machine).sorted().toList());
+        List.of("n1", "n2"),
+        evictions.stream().map(eviction -> eviction.candidate().machine).sorted().toList());
   }
 
-  private static CandidateMachine inZone(String name, String zone) {
+  private static CandidateMachine fullMachineInZone(String name, String zone) {
     CandidateMachine candidate = new CandidateMachine(name, "c0", "m", zone, false, true, 8, 0, 64);
     candidate.take(8, 0, 8);
     return candidate;
   }
 
   @Test
-  void nobodyIsStoppedForAPlanThatFailsAllTheSame() {
+  void preemptsNothingWhenNotAllTasksFit() {
     assertNull(
-        Preemption.choose(NEED, 2, List.of(full("n0")), List.of(victim("n0", 0, 2, 4, 1)), true));
+        Preemption.choose(
+            REQUEST, 2, List.of(fullMachine("n0")), List.of(victim("n0", 0, 2, 4, 1)), true));
   }
 }
--- a/src/test/java/org/sandford/scaling/ClusterDemandTest.java
+++ b/src/test/java/org/sandford/scaling/ClusterDemandTest.java
@@ -15,7 +15,7 @@
   private final List<DemandClass> own = new ArrayList<>();
   private final ClusterDemand demand = new ClusterDemand(loop, () -> own);
 
-  private static DemandClass waiting(int rank, double waitedS) {
+  private static DemandClass demandOf(int rank, double waitedS) {
     return new DemandClass(
         rank, 1.0, 0.0, 1.0, 1, true, false, false, false, List.of(), "", waitedS, 1, Map.of());
   }
@@ -26,9 +26,9 @@
 
   @Test
   void lowerRanksGoFirstAndThenWhatHasWaitedLonger() {
-    DemandClass urgent = waiting(1, 0);
-    DemandClass longWaiting = waiting(2, 60);
-    DemandClass fresh = waiting(2, 1);
+    DemandClass urgent = demandOf(1, 0);
+    DemandClass longWaiting = demandOf(2, 60);
+    DemandClass fresh = demandOf(2, 1);
     own.addAll(List.of(fresh, longWaiting));
     demand.report("worker-1", List.of(urgent));
     assertEquals(List.of(urgent, longWaiting, fresh), current());
@@ -36,15 +36,15 @@
 
   @Test
   void reportReplacesTheFormerOneOfTheSameController() {
-    DemandClass latest = waiting(1, 2);
-    demand.report("worker-1", List.of(waiting(1, 1)));
+    DemandClass latest = demandOf(1, 2);
+    demand.report("worker-1", List.of(demandOf(1, 1)));
     demand.report("worker-1", List.of(latest));
     assertEquals(List.of(latest), current());
   }
 
   @Test
   void reportOfASilentControllerExpires() {
-    demand.report("worker-1", List.of(waiting(1, 1)));
+    demand.report("worker-1", List.of(demandOf(1, 1)));
     loop.pass(PeerConstants.PEER_TIMEOUT_MS / 1000.0);
     assertEquals(List.of(), current());
   }
--- a/src/test/java/org/sandford/scaling/ScaleOutPlannerTest.java
+++ b/src/test/java/org/sandford/scaling/ScaleOutPlannerTest.java
@@ -23,21 +23,21 @@
   private final Set<InstancePool> exhausted = new HashSet<>();
   private final List<CandidateMachine> candidates = new ArrayList<>();
 
-  private static DemandClass arrays(int rank, int tasks) {
+  private static DemandClass arrayDemand(int rank, int tasks) {
     return new DemandClass(
         rank, 1.0, 0.0, 1.0, tasks, true, false, false, false, List.of(), "", 0.0, tasks, Map.of());
   }
 
-  private CandidateMachine machine(InstancePool pool) {
+  private CandidateMachine addMachine(InstancePool pool) {
     CandidateMachine candidate = pool.candidate("n" + candidates.size(), M8);
     candidates.add(candidate);
     return candidate;
   }
 
-  private Map<InstancePool, Integer> provisionFor(DemandClass... demand) {
+  private Map<InstancePool, Integer> plan(DemandClass... demand) {
     // Idle, so that no headroom has to be provisioned.
-    machine(ON_DEMAND);
-    return new ScaleOutPlanner(market(), candidates, MAX_MACHINES).provisionFor(List.of(demand));
+    addMachine(ON_DEMAND);
+    return new ScaleOutPlanner(market(), candidates, MAX_MACHINES).plan(List.of(demand));
   }
 
   private ScaleOutPlanner.Market market() {
@@ -45,32 +45,32 @@
   }
 
   @Test
-  void whatIsIdleIsFilledFirst() {
-    assertEquals(Map.of(SPOT, 1), provisionFor(arrays(URGENT, 16)));
+  void placesDemandOnIdleMachinesFirst() {
+    assertEquals(Map.of(SPOT, 1), plan(arrayDemand(URGENT, 16)));
   }
 
   @Test
-  void ordinaryMachinesAreRentedWhereSpotOnesAreExhausted() {
+  void provisionsOnDemandMachinesWhenSpotIsExhausted() {
     exhausted.add(SPOT);
-    assertEquals(Map.of(ON_DEMAND, 1), provisionFor(arrays(URGENT, 16)));
+    assertEquals(Map.of(ON_DEMAND, 1), plan(arrayDemand(URGENT, 16)));
   }
 
   @Test
-  void nothingIsRentedWhereNothingIsToBeHad() {
+  void provisionsNothingWhenAllPoolsAreExhausted() {
     exhausted.addAll(List.of(SPOT, ON_DEMAND));
-    assertEquals(Map.of(), provisionFor(arrays(URGENT, 16)));
+    assertEquals(Map.of(), plan(arrayDemand(URGENT, 16)));
   }
 
   @Test
-  void headroomIsOrdinary() {
-    machine(ON_DEMAND).take(8, 0, 8);
+  void provisionsHeadroomOnDemand() {
+    addMachine(ON_DEMAND).take(8, 0, 8);
     ScaleOutPlanner planner = new ScaleOutPlanner(market(), candidates, MAX_MACHINES);
-    assertEquals(Map.of(ON_DEMAND, 1), planner.provisionFor(List.of()));
+    assertEquals(Map.of(ON_DEMAND, 1), planner.plan(List.of()));
   }
 
   @Test
-  void theOperatorsLimitHolds() {
+  void respectsTheOperatorsMachineLimit() {
     ScaleOutPlanner planner = new ScaleOutPlanner(market(), candidates, 3);
-    assertEquals(Map.of(SPOT, 3), planner.provisionFor(List.of(arrays(URGENT, 100))));
+    assertEquals(Map.of(SPOT, 3), planner.plan(List.of(arrayDemand(URGENT, 100))));
   }
 }
--- a/src/test/java/org/sandford/scaling/UnreachableZonesTest.java
+++ b/src/test/java/org/sandford/scaling/UnreachableZonesTest.java
@@ -9,11 +9,11 @@
 
 class UnreachableZonesTest {
   private static final String ZONE = "a";
-  private static final int SEVERAL = ScalingConstants.UNREACHABLE_ZONE_MIN_MACHINES;
+  private static final int MIN_LOST = ScalingConstants.UNREACHABLE_ZONE_MIN_MACHINES;
 
   private final UnreachableZones zones = new UnreachableZones();
 
-  private void lost(int lost, int total, long now) {
+  private void update(int lost, int total, long now) {
     MachineCount count = new MachineCount();
     for (int i = 0; i < total; i++) {
       count.add(i < lost);
@@ -23,7 +23,7 @@
 
   @Test
   void zoneOfWhichNearlyAllMachinesAreLostIsUnreachableForAWhile() {
-    lost(SEVERAL, SEVERAL + 1, 0);
+    update(MIN_LOST, MIN_LOST + 1, 0);
     assertTrue(zones.isUnreachable(ZONE, 0));
     assertTrue(zones.isUnreachable(ZONE, ScalingConstants.UNREACHABLE_ZONE_RETENTION_MS - 1));
     assertFalse(zones.isUnreachable(ZONE, ScalingConstants.UNREACHABLE_ZONE_RETENTION_MS));
@@ -31,15 +31,15 @@
 
   @Test
   void zoneIsReachableAgainWhenItsMachinesAre() {
-    lost(SEVERAL, SEVERAL, 0);
-    lost(0, SEVERAL, 1);
+    update(MIN_LOST, MIN_LOST, 0);
+    update(0, MIN_LOST, 1);
     assertFalse(zones.isUnreachable(ZONE, 1));
     assertFalse(zones.keepsLostMachines(ZONE, 1));
   }
 
   @Test
   void severalLostMachinesOfALargeZoneAreKeptOnlyUntilItIsKnownThatTheOthersAnswer() {
-    lost(SEVERAL, SEVERAL * 10, 0);
+    update(MIN_LOST, MIN_LOST * 10, 0);
     assertFalse(zones.isUnreachable(ZONE, 0));
     assertTrue(zones.keepsLostMachines(ZONE, 0));
     assertFalse(zones.keepsLostMachines(ZONE, ScalingConstants.UNREACHABLE_ZONE_DETECT_MS));
@@ -47,7 +47,7 @@
 
   @Test
   void fewLostMachinesAreNotKept() {
-    lost(SEVERAL - 1, SEVERAL - 1, 0);
+    update(MIN_LOST - 1, MIN_LOST - 1, 0);
     assertFalse(zones.keepsLostMachines(ZONE, 0));
   }
 }
