--- a/src/main/java/org/sandford/constants/PlacementConstants.java
+++ b/src/main/java/org/sandford/constants/PlacementConstants.java
@@ -1,32 +1,30 @@
 package org.sandford.constants;
 
-/** Weights and costs of placement; docs/design.md has the score that they enter. */
+/** Weights and costs of the placement score, which docs/design.md describes. */
 public final class PlacementConstants {
   private PlacementConstants() {}
 
-  /** Weight of a plan's cost against its fitness, from 0 to 1. */
+  /** Weight of a plan's cost in its score, from 0 to 1; the rest is the weight of its fitness. */
   public static final double COST_WEIGHT = 0.5;
 
   /** Cost of each machine of a plan beyond the first. */
   public static final double COST_EXTRA_MACHINE = 1.0;
 
-  /** Cost of each zone of a plan beyond the first; a zone stands for the design's racks. */
+  /** Cost of each zone of a plan beyond the first; zones take the place of the design's racks. */
   public static final double COST_EXTRA_ZONE = 4.0;
 
-  /** Cost, for a service, of a machine that lacks its image: users wait for the fetch. */
+  /** Cost, for a service or a gang, of a machine without its image: users or other tasks wait. */
   public static final double COST_IMAGE_FETCH = 2.0;
 
-  /**
-   * The same for arrays: less than {@link #COST_EXTRA_MACHINE}, so that bin packing comes first.
-   */
+  /** The same for arrays; below {@link #COST_EXTRA_MACHINE}, so that bin packing comes first. */
   public static final double COST_IMAGE_FETCH_ARRAY = 0.6;
 
   /**
-   * Cost, for work that may use spot machines, of an on-demand one, which is left to services so
-   * that it can be drained.
+   * Cost of an on-demand machine for work that may use spot machines; on-demand machines are left
+   * to services, so that they can be drained.
    */
   public static final double COST_ON_DEMAND = 2.0;
 
-  /** Amounts of a resource closer than this are equal: sums of decimal amounts are not exact. */
+  /** Tolerance for comparing amounts of a resource, since sums of decimal amounts are not exact. */
   public static final double EPSILON = 1e-6;
 }
--- a/src/main/java/org/sandford/placement/CandidateMachine.java
+++ b/src/main/java/org/sandford/placement/CandidateMachine.java
@@ -4,11 +4,12 @@
 import java.util.Set;
 
 /**
- * A machine as placement sees it: what it is, and what of it is free. Planning takes from it, so a
- * candidate serves one round. CPUs and accelerators are counted, memory is in GB.
+ * A machine with its attributes and free resources, as input to placement. Planning takes resources
+ * from it, so a candidate is valid for one planning round. CPUs and accelerators are counts, memory
+ * is in GB.
  */
 public final class CandidateMachine {
-  /** Resources reserved for a job, from all jobs behind it in order. */
+  /** Resources reserved for a job against all jobs that go after it. */
   public record Reservation(
       String job, int rank, long acceptedAt, double cpus, double gpus, double ram) {}
 
@@ -24,10 +25,10 @@
   public final double gpus;
   public final double ram;
 
-  /** Images that the machine is known to have. */
+  /** Images known to be cached on the machine. */
   public Set<String> images = Set.of();
 
-  /** What of the resources is reserved for jobs. */
+  /** Resources of this machine that are reserved for jobs. */
   public List<Reservation> reservations = List.of();
 
   public double freeCpus;
@@ -35,7 +36,7 @@
   public double freeRam;
 
   /**
-   * Makes a machine of which everything is free.
+   * Creates a machine whose resources are all free.
    *
    * @param owner label of the controller that owns it
    * @param ownedLocally whether this controller owns it
@@ -64,7 +65,9 @@
     this.freeRam = ram;
   }
 
-  /** The CPUs, accelerators and memory that are reserved for jobs that go before this one. */
+  /**
+   * Returns the CPUs, accelerators and memory that are reserved for jobs that go before this one.
+   */
   public double[] reservedForOthers(ResourceRequest request) {
     if (reservations.isEmpty()) {
       return NO_RESOURCES;
@@ -87,7 +90,8 @@
   }
 
   /**
-   * What is reserved for the job itself; the tasks that were preempted for it may still be there.
+   * Returns the resources reserved for the job itself; tasks preempted for it may still occupy
+   * them.
    */
   public double[] reservedFor(ResourceRequest request) {
     for (Reservation reservation : reservations) {
@@ -98,7 +102,7 @@
     return NO_RESOURCES;
   }
 
-  /** Takes resources from what is free. */
+  /** Subtracts resources from the free ones. */
   public void take(double takenCpus, double takenGpus, double takenRam) {
     freeCpus -= takenCpus;
     freeGpus -= takenGpus;
--- a/src/main/java/org/sandford/placement/Planner.java
+++ b/src/main/java/org/sandford/placement/Planner.java
@@ -13,13 +13,13 @@
 import org.sandford.constants.PlacementConstants;
 
 /**
- * Bin packing of the tasks of one job, by the method of docs/design.md: candidates by free
- * resources, a score, and a greedy plan. The tasks of a job are scored as one class, and a machine
- * once chosen takes as many as it holds, so the cost of a plan grows with machines and not with
- * tasks.
+ * Bin packs the tasks of one job as described in docs/design.md: it filters the candidates by free
+ * resources, scores them and builds a greedy plan. The tasks of a job are scored as one class and a
+ * chosen machine takes as many as fit, so the cost of a plan grows with the number of machines, not
+ * of tasks.
  *
- * <p>Pure but for {@link #scoredCandidates}: it reads the candidates that it is given, takes the
- * resources of a plan that it returns from them, and knows nothing else. Belongs to one thread.
+ * <p>Except for {@link #scoredCandidates} it has no state: it reads the given candidates and takes
+ * the resources of a returned plan from them. Not thread-safe.
  */
 public final class Planner {
   /** A number of tasks on one machine. */
@@ -28,20 +28,20 @@
   /** A plan with its score; lower is better. */
   public record Plan(List<Slot> slots, double score, int tasks) {}
 
-  /** Counts scored candidates, so that tests can hold the cost of a decision. */
+  /** Counts the scored candidates, so that tests can limit the cost of a plan. */
   private long scoredCandidates;
 
-  /** Candidates scored so far. */
+  /** Returns the number of candidates scored so far. */
   public long scoredCandidates() {
     return scoredCandidates;
   }
 
   /**
-   * Plans up to {@code count} tasks, on machines of this controller's shard first, then on others.
-   * The resources of the plan are taken from the candidates.
+   * Plans up to {@code count} tasks, on the machines of this controller's shard first, unless the
+   * request prefers a cached image. Takes the resources of the plan from the candidates.
    *
-   * @return the plan, or null when no task fits, or with {@code allOrNone} not every task; nothing
-   *     is taken then
+   * @return the plan; null, with nothing taken, when no task fits or, with {@code allOrNone}, not
+   *     every task fits
    */
   public Plan place(
       ResourceRequest request,
@@ -66,9 +66,9 @@
   }
 
   /**
-   * An upper bound on the tasks that the candidates hold, counted up to {@code limit}; spreading
-   * rules are left out. It is far cheaper than a plan, which need not be tried when the bound is
-   * too low.
+   * Returns an upper bound on the tasks that fit on the candidates, at most {@code limit};
+   * spreading rules are ignored. The bound is far cheaper than a plan; when it is too low, no plan
+   * need be tried.
    */
   public static int bound(
       ResourceRequest request, int limit, Collection<CandidateMachine> candidates) {
@@ -84,7 +84,10 @@
     return bound;
   }
 
-  /** Zones in which a job whose tasks must share a zone may be placed: the one it has, or any. */
+  /**
+   * Returns the zones in which a job whose tasks must share a zone may be placed: the zone of its
+   * tasks if it has any, else every zone. None if its tasks are in several zones.
+   */
   private static Set<String> eligibleZones(
       ResourceRequest request, Collection<CandidateMachine> candidates) {
     Set<String> zonesInUse = new TreeSet<>();
@@ -115,7 +118,9 @@
     return plan;
   }
 
-  /** The greedy plan in one zone, or in all when the zone is empty; takes nothing. */
+  /**
+   * Drafts a greedy plan for one zone, or for all when {@code zone} is empty; takes no resources.
+   */
   private Plan draftPlan(
       ResourceRequest request, int count, Collection<CandidateMachine> candidates, String zone) {
     List<CandidateMachine> preferredCandidates = new ArrayList<>();
@@ -125,7 +130,7 @@
           && (zone.isEmpty() || zone.equals(candidate.zone))
           && request.countFitting(candidate) > 0) {
         // A service or a gang starts sooner on a machine of another shard that has its image than
-        // on one of this shard that has not.
+        // on one of this shard that lacks it.
         (candidate.ownedLocally || request.prefersCachedImage()
                 ? preferredCandidates
                 : otherCandidates)
@@ -143,15 +148,15 @@
     return new Plan(draft.slots, draft.score, count - draft.remainingTasks);
   }
 
-  /** A plan in the making. */
+  /** A plan that is being built. */
   private static final class Draft {
     final ResourceRequest request;
     final List<Slot> slots = new ArrayList<>();
 
-    /** Tasks of the job by zone, those of the plan included. */
+    /** Tasks of the job by zone, including those of the plan. */
     final Map<String, Integer> tasksByZone;
 
-    /** Machines that hold tasks of the job, those of the plan included. */
+    /** Machines that hold tasks of the job, including those of the plan. */
     final Set<String> machinesInUse;
 
     final Map<CandidateMachine, Integer> plannedTasks = new HashMap<>();
@@ -169,7 +174,7 @@
       return tasksByZone.getOrDefault(candidate.zone, 0);
     }
 
-    /** Tasks that the machine can take beside those that the plan has there. */
+    /** Returns how many tasks fit on the machine in addition to those already planned there. */
     int countFitting(CandidateMachine candidate) {
       return request.countFitting(candidate) - plannedTasks.getOrDefault(candidate, 0);
     }
@@ -189,10 +194,10 @@
   }
 
   /**
-   * Tasks without a spreading rule: a chosen machine takes all that it holds, so each candidate is
-   * chosen once at the most. The others' scores change only when the plan gets its first machine or
-   * a new zone, and only then are they computed anew; a large array on a large cluster would
-   * otherwise cost as many scores as there are pairs of slots and machines.
+   * Plans tasks without a spreading rule. A chosen machine takes all tasks that fit, so each
+   * candidate is chosen at most once. The scores of the others change only when the plan gets its
+   * first machine or a new zone, and are recomputed only then; otherwise a large array on a large
+   * cluster would need a score for each pair of slot and machine.
    */
   private void pack(Draft draft, List<CandidateMachine> candidates) {
     List<CandidateMachine> unusedCandidates = candidates;
@@ -224,7 +229,7 @@
     return new PriorityQueue<>(ranked);
   }
 
-  /** A candidate with its score; of equals the earlier goes first. */
+  /** A candidate with its score; of equal scores, the candidate listed earlier goes first. */
   private record Scored(CandidateMachine candidate, double score, int order)
       implements Comparable<Scored> {
     @Override
@@ -234,7 +239,7 @@
     }
   }
 
-  /** Tasks that spread over zones: each is scored against all candidates. */
+  /** Plans tasks that spread over zones: scores all candidates again for each slot. */
   private void spread(Draft draft, List<CandidateMachine> candidates) {
     ResourceRequest request = draft.request;
     while (draft.remainingTasks > 0) {
@@ -248,7 +253,8 @@
         }
         scoredCandidates++;
         double score = draft.scoreOf(candidate);
-        // Replicas spread evenly over zones first; the score decides within a zone.
+        // Replicas are spread evenly over zones; the score decides only between equally loaded
+        // zones.
         boolean compareByZone = request.service() && placedInZone != bestPlacedInZone;
         if (best == null || (compareByZone ? placedInZone < bestPlacedInZone : score < bestScore)) {
           best = candidate;
@@ -267,7 +273,7 @@
     }
   }
 
-  /** What one more task on this machine adds to the plan's score. */
+  /** Returns what one more task on the machine adds to the plan's score. */
   static double score(
       ResourceRequest request,
       CandidateMachine candidate,
--- a/src/main/java/org/sandford/placement/Preemption.java
+++ b/src/main/java/org/sandford/placement/Preemption.java
@@ -15,16 +15,16 @@
 import org.sandford.constants.PlacementConstants;
 
 /**
- * Chooses the tasks to preempt so that others fit: as little progress as can be, the lowest rank
- * first. Pure: who may be stopped at all is decided by the caller.
+ * Chooses the tasks to preempt so that others fit, with the least loss of progress and the lowest
+ * rank first. The caller decides which tasks may be preempted at all. Has no side effects.
  */
 public final class Preemption {
   /**
-   * A task that may be stopped.
+   * A task that may be preempted.
    *
-   * @param lossCpuS the processor seconds of work that are lost with it; for a task of a gang,
-   *     those of the whole gang, whose other tasks stop with it
-   * @param gang names the gang that stops with it; empty for a task of any other job
+   * @param lossCpuS CPU seconds of work lost when it stops; for a task of a gang, those of the
+   *     whole gang, which stops with it
+   * @param gang name of the gang that stops with it; empty for a task outside a gang
    */
   public record Victim(
       String machine,
@@ -40,7 +40,7 @@
       String gang) {
     private static final String NO_GANG = "";
 
-    /** A task that is no part of a gang. */
+    /** Creates a task that belongs to no gang. */
     public Victim(
         String machine,
         String team,
@@ -55,7 +55,7 @@
       this(machine, team, job, task, attempt, rank, cpus, gpus, ram, lossCpuS, NO_GANG);
     }
 
-    /** The same task as one of a gang that loses so much. */
+    /** Returns the same task as part of a gang, with the loss of the whole gang. */
     public Victim inGang(String name, double gangLossCpuS) {
       return new Victim(
           machine, team, job, task, attempt, rank, cpus, gpus, ram, gangLossCpuS, name);
@@ -66,7 +66,7 @@
     }
   }
 
-  /** The victims on one machine, whose resources are then reserved there for the preempting job. */
+  /** The victims on one machine, and for how many tasks its resources are then reserved. */
   public record Eviction(CandidateMachine candidate, List<Victim> victims, int tasks) {}
 
   private final ResourceRequest request;
@@ -76,10 +76,10 @@
   private final Map<String, List<Victim>> victimsByMachine = new HashMap<>();
   private final Map<String, Set<String>> machinesByGang = new HashMap<>();
 
-  /** Gangs of which a task is stopped, and so all of them: their other tasks cost nothing more. */
+  /** Gangs already chosen to stop: stopping further tasks of them adds no loss. */
   private final Set<String> stoppedGangs = new HashSet<>();
 
-  /** The current offer of each machine; the queue has outdated ones as well. */
+  /** The current offer of each machine; the queue also holds outdated offers. */
   private final Map<CandidateMachine, Offer> currentOffers = new HashMap<>();
 
   private final PriorityQueue<Offer> offers = new PriorityQueue<>();
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Finds resources for {@code count} tasks with the help of victims; null when there are not
-   * enough. Free resources count first. Nothing is taken from the candidates.
+   * Finds resources for {@code count} tasks, free ones first, then those of victims; returns null
+   * when they do not suffice. Takes nothing from the candidates.
    */
   public static List<Eviction> choose(
       ResourceRequest request,
@@ -126,7 +126,8 @@
   }
 
   private List<Eviction> chooseEvictions(int count, boolean allOrNone) {
-    // Only a machine that was chosen changes, so the others' offers are worked out once.
+    // Accepting an offer changes only its own machine and those of the stopped gangs, so only their
+    // offers are recomputed.
     freeByCandidate.keySet().forEach(this::updateOffer);
     int remainingTasks = count;
     while (remainingTasks > 0 && !offers.isEmpty()) {
@@ -140,7 +141,7 @@
     return sufficient ? new ArrayList<>(evictions.values()) : null;
   }
 
-  /** The lowest rank first, and of it the least progress; what stops anyway before all. */
+  /** Sorts tasks of stopping gangs first, then by lowest rank, then by least loss. */
   private void sortVictims(List<Victim> victims) {
     victims.sort(
         Comparator.comparing((Victim v) -> !(v.isInGang() && stoppedGangs.contains(v.gang)))
@@ -149,8 +150,9 @@
   }
 
   /**
-   * The free CPUs, accelerators and memory. What is reserved for the job counts, even while those
-   * who were stopped for it still leave: otherwise others would be stopped once more.
+   * Returns the free CPUs, accelerators and memory. Resources reserved for the job count even while
+   * preempted tasks still occupy them; otherwise further tasks would be preempted for the same
+   * need.
    */
   private double[] availableTo(CandidateMachine candidate) {
     double[] reservedForOthers = candidate.reservedForOthers(request);
@@ -191,7 +193,7 @@
     updateOffer(candidate);
   }
 
-  /** The other tasks of a gang stop as well, so that their machines have more to offer. */
+  /** Marks the victim's gang as stopped and updates the offers of its other machines. */
   private void stopGang(Victim victim) {
     if (victim.isInGang() && stoppedGangs.add(victim.gang)) {
       for (String machine : machinesByGang.get(victim.gang)) {
@@ -204,7 +206,7 @@
     }
   }
 
-  /** Works out anew what one more task on this machine would cost. */
+  /** Recomputes the offer of the machine; removes it when one more task cannot fit. */
   private void updateOffer(CandidateMachine candidate) {
     List<Victim> victimsToStop =
         firstSufficientVictims(
@@ -220,12 +222,14 @@
     offers.add(offer);
   }
 
-  /** What is lost with these tasks: of each group once, and nothing of those that stop anyway. */
+  /**
+   * Returns the loss added by these tasks: each gang once, and gangs that stop already not at all.
+   */
   private double additionalLoss(List<Victim> victimsToStop) {
     return lossOf(victimsToStop.stream(), new HashSet<>(stoppedGangs));
   }
 
-  /** The first victims whose resources suffice for one task, or null. */
+  /** Returns the fewest leading victims whose resources suffice for one task, or null. */
   private List<Victim> firstSufficientVictims(double[] freeResources, List<Victim> victims) {
     double[] available = freeResources.clone();
     List<Victim> victimsToStop = new ArrayList<>();
@@ -249,7 +253,8 @@
   }
 
   /**
-   * Tries each zone by itself: the zone of the cheapest first victim may have no room for the rest.
+   * Tries each zone by itself, since the zone of the cheapest first victim may lack resources for
+   * the remaining tasks.
    */
   private static List<Eviction> chooseInCheapestZone(
       ResourceRequest request,
@@ -282,7 +287,7 @@
     return lossOf(evictions.stream().flatMap(e -> e.victims().stream()), new HashSet<>());
   }
 
-  /** The sum of what is lost, without the gangs that are counted already; a gang counts once. */
+  /** Sums the losses; each gang counts once, and gangs in {@code countedGangs} not at all. */
   private static double lossOf(Stream<Victim> victims, Set<String> countedGangs) {
     return victims
         .filter(v -> !v.isInGang() || countedGangs.add(v.gang))
@@ -290,7 +295,7 @@
         .sum();
   }
 
-  /** What one more task on this machine would cost. */
+  /** The victims and the loss that one more task on the machine would cost. */
   private record Offer(
       CandidateMachine candidate, List<Victim> victimsToStop, double loss, int order)
       implements Comparable<Offer> {
--- a/src/main/java/org/sandford/placement/ResourceRequest.java
+++ b/src/main/java/org/sandford/placement/ResourceRequest.java
@@ -5,20 +5,20 @@
 import org.sandford.constants.PlacementConstants;
 
 /**
- * The equivalent tasks of one job that are to be placed, with what each of them needs.
+ * The placement request for equivalent tasks of one job. The amounts are those of one task.
  *
  * @param job the job, for which resources may be reserved
- * @param rank its rank; the lower go first
- * @param acceptedAt when it was accepted; of one rank, the earlier go first
+ * @param rank its rank; lower ranks go first
+ * @param acceptedAt when it was accepted; within a rank, earlier jobs go first
  * @param allowedInstanceTypes allowed instance types; empty for any
  * @param zone the only allowed zone, or empty
- * @param service its tasks are replicas, which spread evenly over zones
- * @param gang its tasks start together, so the last image that arrives sets the pace
- * @param totalTasks tasks of the whole job, from which the most tasks of a zone follow
- * @param tasksByZone tasks of the job by zone that are, or may be, on machines
+ * @param service whether its tasks are replicas, which spread evenly over zones
+ * @param gang whether its tasks start together, so that the slowest image fetch delays all
+ * @param totalTasks tasks of the whole job, which determine {@link #maxTasksPerZone}
+ * @param tasksByZone tasks of the job that are, or may be, on machines, by zone
  * @param machinesInUse machines that hold tasks of the job
  * @param avoidedMachines machines that this job must not use
- * @param image the image that a machine must have before a task can run
+ * @param image the image that a machine needs before a task can run
  */
 public record ResourceRequest(
     String job,
@@ -40,7 +40,10 @@
     Set<String> avoidedMachines,
     String image) {
 
-  /** Whether the job allows the machine's instance type, zone and price model; resources aside. */
+  /**
+   * Whether the job allows the machine's instance type, zone and price model and does not avoid the
+   * machine; resources are not checked.
+   */
   public boolean allows(CandidateMachine candidate) {
     return (allowedInstanceTypes.isEmpty() || allowedInstanceTypes.contains(candidate.instanceType))
         && (zone.isEmpty() || zone.equals(candidate.zone))
@@ -49,8 +52,8 @@
   }
 
   /**
-   * Whether the first job has to leave reserved resources to the second: by rank, then by arrival.
-   * It is the same order everywhere, so two jobs cannot hold for ever what the other lacks.
+   * Whether the first job must leave reserved resources to the second, by rank, then by acceptance.
+   * All controllers use the same order, so reservations of two jobs cannot deadlock.
    */
   public static boolean yieldsTo(
       int rank, long acceptedAt, String job, int otherRank, long otherAcceptedAt, String otherJob) {
@@ -63,14 +66,14 @@
   }
 
   /**
-   * Whether its tasks start the sooner the sooner all have their image, so that a warm machine
-   * anywhere is best.
+   * Whether a machine with a cached image is preferred in any shard, since users or other tasks
+   * wait for the slowest fetch.
    */
   public boolean prefersCachedImage() {
     return service || gang;
   }
 
-  /** The same with only one zone allowed. */
+  /** Returns the same request with only one zone allowed. */
   public ResourceRequest restrictedToZone(String onlyZone) {
     return new ResourceRequest(
         job,
@@ -93,7 +96,7 @@
         image);
   }
 
-  /** How many of the tasks fit into the machine's free resources. */
+  /** Returns how many of the tasks fit into the machine's unreserved free resources. */
   public int countFitting(CandidateMachine candidate) {
     double epsilon = PlacementConstants.EPSILON;
     double[] reserved = candidate.reservedForOthers(this);
@@ -110,7 +113,7 @@
     return (int) Math.max(0, Math.floor(fitting));
   }
 
-  /** Tasks of a scattered job that one zone may hold. */
+  /** Returns how many tasks of the job one zone may hold: half, rounded up, if they must spread. */
   public int maxTasksPerZone() {
     return spreadAcrossZones ? (totalTasks + 1) / 2 : Integer.MAX_VALUE;
   }
--- a/src/main/java/org/sandford/placement/package-info.java
+++ b/src/main/java/org/sandford/placement/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Bin packing and preemption: which machines take the tasks of a job, and which tasks make way.
+ * Bin packing and preemption: decides which machines take the tasks of a job, and which tasks are
+ * preempted for them.
  *
- * <p>Pure: requests and candidates in, plans out. Owns no state, does no I/O, runs on the event
- * loop of its caller. Called by {@code job} for its teams and by {@code scaling} to see what is
- * missing.
+ * <p>Maps requests and candidates to plans. Owns no state, does no I/O, runs on the event loop of
+ * its caller. Called by {@code job} for its teams; {@code scaling} uses its types to find out what
+ * is missing.
  */
 package org.sandford.placement;
--- a/src/main/java/org/sandford/scaling/Autoscaler.java
+++ b/src/main/java/org/sandford/scaling/Autoscaler.java
@@ -14,11 +14,11 @@
 import org.sandford.settings.Settings;
 
 /**
- * Keeps the fleet as large as the work needs. On the leader a regular check reconciles the machines
- * with the cloud's, replaces failed ones, scales out for what waits, scales in what is idle and
- * drains what has little work; other controllers only read the instance types.
+ * Keeps the fleet as large as the work needs. On the leader a periodic check reconciles the
+ * machines with the cloud's, replaces failed machines, scales out for waiting tasks, releases idle
+ * machines and drains machines with little work. Other controllers only read the instance types.
  *
- * <p>A failed request to the cloud is repeated by a later check. All methods run on the event loop.
+ * <p>A later check repeats failed requests to the cloud. All methods run on the event loop.
  */
 public final class Autoscaler {
   private final EventLoop loop;
@@ -34,9 +34,9 @@
   private boolean wasLeader;
 
   /**
-   * Assembles the parts; nothing happens before {@link #start}.
+   * Creates the autoscaler; it does nothing before {@link #start}.
    *
-   * @param ownDemand what waits for resources on this controller
+   * @param ownDemand supplies what waits for resources on this controller
    */
   public Autoscaler(
       EventLoop loop,
@@ -61,27 +61,27 @@
     drain = new Drain(links, machineSnapshots, catalog);
   }
 
-  /** Reads the instance types and begins the regular checks. */
+  /** Reads the instance types and starts the periodic checks. */
   public void start() {
     catalog.read();
     loop.every(ScalingConstants.SCALING_CHECK_MS, this::check);
   }
 
-  /** The instance type of this name, or null if the cloud never offered it. */
+  /** Returns the instance type of this name, or null if the cloud never offered it. */
   public InstanceType instanceType(String name) {
     return catalog.get(name);
   }
 
-  /** All instance types by name; empty until the cloud has answered once. A live view. */
+  /** Returns a live view of all instance types by name; empty until the cloud has answered once. */
   public Map<String, InstanceType> instanceTypes() {
     return catalog.all();
   }
 
   /**
-   * Takes what waits for resources on another controller. It counts until the next report, and for
-   * as long as a peer may be silent.
+   * Records what waits for resources on another controller. It counts until the next report or
+   * until the peer times out.
    *
-   * @param from the label of the controller
+   * @param from label of the controller
    */
   public void demand(String from, List<DemandClass> classes) {
     clusterDemand.report(from, classes);
@@ -105,7 +105,8 @@
       provision(now);
     }
     if (inventory.isCloudAvailable()) {
-      // A released machine serves nobody, so none is released while the cloud could not take it.
+      // A released machine runs no tasks, so none is released while the cloud cannot decommission
+      // it.
       scaleIn.releaseIdle(scaleOut.machinesForDemand(), now);
       drain.run(now, () -> !clusterDemand.current(now).isEmpty() || !requests.isEmpty());
     }
--- a/src/main/java/org/sandford/scaling/ClusterDemand.java
+++ b/src/main/java/org/sandford/scaling/ClusterDemand.java
@@ -11,8 +11,8 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * What waits for resources in the whole cluster: this controller's demand and what the others
- * reported lately. Runs on the event loop.
+ * Collects what waits for resources in the whole cluster: this controller's demand and the recent
+ * reports of the others. Runs on the event loop.
  */
 final class ClusterDemand {
   private record ReportedDemand(List<DemandClass> classes, long reportedAt) {}
@@ -26,12 +26,12 @@
     this.ownDemand = ownDemand;
   }
 
-  /** Replaces what the controller with this label reported before. */
+  /** Replaces the previous report of the controller with this label. */
   void report(String label, List<DemandClass> classes) {
     reports.put(label, new ReportedDemand(classes, loop.millis()));
   }
 
-  /** All demand, by rank and then by the time it has waited, the longest first. */
+  /** Returns all demand, ordered by rank and then by waiting time, the longest first. */
   List<DemandClass> current(long now) {
     List<DemandClass> all = new ArrayList<>(ownDemand.get());
     reports.forEach(
--- a/src/main/java/org/sandford/scaling/Drain.java
+++ b/src/main/java/org/sandford/scaling/Drain.java
@@ -21,9 +21,9 @@
 import org.sandford.placement.CandidateMachine;
 
 /**
- * Drains machines whose tasks fit on the others. Services run for long, so a fleet that grew for a
- * burst would otherwise be kept for a few of them on each machine. Runs on the event loop, on the
- * leader.
+ * Drains machines whose tasks fit on other machines. Services run for long, so a fleet that grew
+ * for a burst would otherwise stay up for a few services on each machine. Runs on the event loop,
+ * on the leader.
  */
 final class Drain {
   private final PeerLinks links;
@@ -38,7 +38,7 @@
     this.catalog = catalog;
   }
 
-  /** The machines that are up at one moment, and which of them have little work. */
+  /** The machines that are up, and those of them with little work. */
   private static final class Fleet {
     final Map<String, CandidateMachine> candidates = new LinkedHashMap<>();
     final Map<String, Integer> onDemandByZone = new HashMap<>();
@@ -52,15 +52,15 @@
           (int) (candidates.size() * ScalingConstants.CONCURRENT_DRAIN_SHARE));
     }
 
-    /** Whether the machine is the zone's last on-demand one, which must stay. */
+    /** Whether the machine is the last on-demand one of its zone, which must stay. */
     boolean isLastOnDemandInZone(MachineSnapshot snapshot) {
       return !snapshot.spot && onDemandByZone.get(snapshot.zone) <= 1;
     }
   }
 
   /**
-   * Cancels drains that take too long, and begins another one, on the most expensive machine for
-   * its work, unless the fleet is growing.
+   * Cancels drains that take too long. Starts at most one drain, on the machine with the highest
+   * price per used CPU, unless the fleet is growing.
    *
    * @param isGrowing whether anything waits for resources or machines are being provisioned
    */
@@ -153,7 +153,7 @@
         / (candidate.cpus - candidate.freeCpus);
   }
 
-  /** Whether the machine's tasks fit on the others, in their zone, with the headroom left. */
+  /** Whether the machine's tasks fit on other machines of its zone and leave the headroom free. */
   private static boolean fitsElsewhere(MachineSnapshot snapshot, Fleet fleet) {
     List<FreeAmounts> others = new ArrayList<>();
     double freeCpus = 0;
@@ -188,7 +188,7 @@
     return false;
   }
 
-  /** What is free on a machine while tasks are tried on it. */
+  /** The free resources of a machine during a trial placement. */
   private static final class FreeAmounts {
     private double cpus;
     private double gpus;
@@ -214,9 +214,9 @@
   }
 
   /**
-   * Lets all draining machines serve again: sooner and cheaper than provisioning others.
+   * Cancels all drains, which frees capacity sooner and cheaper than provisioning machines.
    *
-   * @return whether there were any
+   * @return whether any machine was draining
    */
   boolean cancelAll() {
     boolean anyCancelled = false;
--- a/src/main/java/org/sandford/scaling/InstanceCatalog.java
+++ b/src/main/java/org/sandford/scaling/InstanceCatalog.java
@@ -9,8 +9,8 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * The instance types that the cloud offers, polled regularly. A type that was offered once stays
- * known, also while the cloud is unavailable. Runs on the event loop.
+ * Polls the instance types that the cloud offers. A type that was offered once stays known, even
+ * while the cloud is unavailable. Runs on the event loop.
  */
 final class InstanceCatalog {
   private final EventLoop loop;
@@ -18,7 +18,7 @@
   private final Map<String, InstanceType> instanceTypes = new TreeMap<>();
   private boolean reading;
 
-  /** When the instance types were last read; means nothing while there are none. */
+  /** When the instance types were last read; meaningless while none are known. */
   private long readAt;
 
   InstanceCatalog(EventLoop loop, CloudClient cloud) {
@@ -26,7 +26,7 @@
     this.cloud = cloud;
   }
 
-  /** Reads the instance types unless a reading is under way. */
+  /** Reads the instance types unless a read is in flight. */
   void read() {
     if (reading) {
       return;
@@ -42,7 +42,7 @@
         });
   }
 
-  /** Reads the instance types if none are known or the last reading is old. */
+  /** Reads the instance types if none are known or the last read is stale. */
   void readIfStale(long now) {
     if (instanceTypes.isEmpty() || now - readAt > ScalingConstants.INSTANCE_TYPES_POLL_MS) {
       read();
@@ -54,17 +54,17 @@
     return instanceTypes.isEmpty();
   }
 
-  /** The instance type of this name, or null if the cloud never offered it. */
+  /** Returns the instance type of this name, or null if the cloud never offered it. */
   InstanceType get(String name) {
     return instanceTypes.get(name);
   }
 
-  /** All instance types by name; a live view. */
+  /** Returns a live view of all instance types by name. */
   Map<String, InstanceType> all() {
     return instanceTypes;
   }
 
-  /** An empty machine of a known instance type, as placement sees it. */
+  /** Returns an empty machine of a known instance type as a placement candidate. */
   CandidateMachine candidate(String machine, String instanceType, String zone, boolean spot) {
     return new InstancePool(instanceType, zone, spot).candidate(machine, get(instanceType));
   }
--- a/src/main/java/org/sandford/scaling/InstanceInventory.java
+++ b/src/main/java/org/sandford/scaling/InstanceInventory.java
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the assignment map with the machines that the cloud has: what it lists is added to the
- * map, and what is decommissioned is removed from it. A machine leaves the map only when the cloud
- * has confirmed that it is gone, since that frees its tasks. Runs on the event loop, on the leader.
+ * Reconciles the assignment map with the cloud's machines: adds listed machines to the map and
+ * removes decommissioned ones. A machine is removed only when the cloud has confirmed that it is
+ * gone, since removal frees its tasks. Runs on the event loop, on the leader.
  */
 final class InstanceInventory {
   private static final Logger log = LoggerFactory.getLogger(InstanceInventory.class);
@@ -34,7 +34,7 @@
   private final MachineSnapshots machineSnapshots;
   private final InstanceCatalog catalog;
 
-  /** Machines that are gone: a lagging list may still show them. */
+  /** When each machine was removed; a stale list may still show it. */
   private final Map<String, Long> removedAt = new HashMap<>();
 
   private final Set<String> decommissioning = new HashSet<>();
@@ -55,17 +55,17 @@
     this.catalog = catalog;
   }
 
-  /** Whether the last list or decommissioning request was answered. */
+  /** Whether the last list or decommissioning request succeeded. */
   boolean isCloudAvailable() {
     return cloudAvailable;
   }
 
-  /** Whether a request to decommission the machine is under way. */
+  /** Whether a request to decommission the machine is in flight or waits for its retry. */
   boolean isDecommissioning(String machine) {
     return decommissioning.contains(machine);
   }
 
-  /** Lists the cloud's machines if the last list is old, and forgets old removals. */
+  /** Lists the cloud's machines if the last list is stale, and forgets old removals. */
   void refresh(long now) {
     if (!listing && isListOld(now)) {
       listInstances();
@@ -127,8 +127,8 @@
   }
 
   /**
-   * Asks the cloud to decommission machines, at most as many as fit into one request; the rest is
-   * left to the next call. A request that failed may be repeated after a while.
+   * Asks the cloud to decommission machines, at most as many as one request allows; the next call
+   * handles the rest. A failed request may be repeated after a delay.
    */
   void decommission(List<String> machines) {
     List<String> requested =
--- a/src/main/java/org/sandford/scaling/MachineCount.java
+++ b/src/main/java/org/sandford/scaling/MachineCount.java
@@ -1,6 +1,6 @@
 package org.sandford.scaling;
 
-/** How many machines of a zone or an owner came up, and how many of these are lost. */
+/** Counts the machines of a zone or an owner that came up, and how many of them are lost. */
 final class MachineCount {
   private int total;
   private int lost;
--- a/src/main/java/org/sandford/scaling/MachineReplacement.java
+++ b/src/main/java/org/sandford/scaling/MachineReplacement.java
@@ -14,14 +14,14 @@
 
 /**
  * Removes lost and quarantined machines from the fleet, so that scaling out replaces them.
- * Decommissioning a lost machine frees its tasks sooner than its lease would. Runs on the event
- * loop, on the leader.
+ * Decommissioning a lost machine frees its tasks before its lease expires. Runs on the event loop,
+ * on the leader.
  */
 final class MachineReplacement {
-  /** Lost machines of one owner from which on the owner itself may be partitioned. */
+  /** Number of an owner's lost machines from which on the owner itself may be partitioned. */
   private static final int PARTITIONED_OWNER_MIN_LOST = 3;
 
-  /** Milliseconds after which a machine that is still lost may be reassigned once more. */
+  /** Milliseconds after which a machine that is still lost may be reassigned again. */
   private static final long REASSIGN_INTERVAL_MS = 60_000;
 
   /** Milliseconds that the new owner has to reach a reassigned machine. */
@@ -50,7 +50,10 @@
     this.zones = zones;
   }
 
-  /** Checks all machines once. */
+  /**
+   * Decommissions lost machines and a few quarantined ones; reassigns machines of a partitioned
+   * owner.
+   */
   void replaceFailed(long now) {
     Map<String, MachineCount> countsByOwner = new HashMap<>();
     Map<String, MachineCount> countsByZone = new HashMap<>();
@@ -66,8 +69,8 @@
       if (snapshot.state == MachineState.LOST) {
         if (!zones.keepsLostMachines(snapshot.zone, now)
             && !tryOtherOwner(received, countsByOwner, now)) {
-          // Its owner does not release it: while the cloud takes no requests, it serves again when
-          // it comes back.
+          // Decommissioned without its owner: if the cloud is unavailable, the machine can still
+          // return to service.
           lost.add(snapshot.machine);
         }
       } else if (snapshot.quarantined
@@ -81,7 +84,7 @@
     inventory.decommission(lost);
   }
 
-  /** Counts the machines that came up, and how many of them are lost. */
+  /** Counts, by owner and by zone, the machines that came up and how many of them are lost. */
   private void countMachines(
       Map<String, MachineCount> countsByOwner, Map<String, MachineCount> countsByZone) {
     for (MachineSnapshots.ReceivedSnapshot received : machineSnapshots.all()) {
@@ -96,8 +99,9 @@
   }
 
   /**
-   * Whether a lost machine is left to another owner first. When most machines of one owner are
-   * lost, rather the owner is partitioned than so many machines, and another one may reach them.
+   * Moves a lost machine to another owner if its owner seems partitioned; returns whether to keep
+   * the machine for now. When most machines of one owner are lost, the owner is probably
+   * partitioned, and another one may reach them.
    */
   private boolean tryOtherOwner(
       MachineSnapshots.ReceivedSnapshot received,
@@ -125,7 +129,10 @@
         && countsByOwner.size() > 1;
   }
 
-  /** The member with the fewest machines other than this one, or an empty text if there is none. */
+  /**
+   * Returns the member with the fewest machines except this one, or an empty string if there is
+   * none.
+   */
   private String memberWithFewestMachines(String excludedLabel) {
     String best = "";
     int fewest = Integer.MAX_VALUE;
--- a/src/main/java/org/sandford/scaling/ProvisionRequests.java
+++ b/src/main/java/org/sandford/scaling/ProvisionRequests.java
@@ -14,14 +14,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests to the cloud for new machines. A request has a name that is never used again, so it can
- * be retried until its outcome is known without provisioning twice. Runs on the event loop, on the
- * leader.
+ * Sends requests for new machines to the cloud. Each request has a unique name, so retries until
+ * the outcome is known do not provision twice. Runs on the event loop, on the leader.
  */
 final class ProvisionRequests {
   private static final Logger log = LoggerFactory.getLogger(ProvisionRequests.class);
 
-  /** Milliseconds for which a request with unknown outcome is retried. */
+  /** Milliseconds for which a request with an unknown outcome is retried. */
   private static final long RETRY_LIMIT_MS = 60_000;
 
   /** Milliseconds without new requests after the cloud did not execute one. */
@@ -42,7 +41,7 @@
     this.cloud = cloud;
   }
 
-  /** Forgets pending requests; what they provision is adopted from the cloud's list. */
+  /** Forgets pending requests; their machines are added from the cloud's list instead. */
   void clear() {
     pending.clear();
   }
@@ -52,7 +51,7 @@
     return pending.isEmpty();
   }
 
-  /** Machines that pending requests may bring. */
+  /** Returns how many machines pending requests may provision. */
   int pendingMachines() {
     int machines = 0;
     for (ProvisionRequest request : pending.values()) {
@@ -61,7 +60,7 @@
     return machines;
   }
 
-  /** Adds the machines that pending requests may bring, as empty ones. */
+  /** Adds the machines that pending requests may provision, as empty candidates. */
   void addPendingTo(List<CandidateMachine> candidates, InstanceCatalog catalog) {
     for (ProvisionRequest request : pending.values()) {
       InstancePool pool = request.pool;
@@ -73,17 +72,17 @@
     }
   }
 
-  /** Whether nothing may be requested for now, since the cloud did not execute a request. */
+  /** Whether no request may be sent now because the cloud did not execute an earlier one. */
   boolean isBackingOff(long now) {
     return now < backoffUntil;
   }
 
-  /** Whether the pool lately had no capacity. */
+  /** Whether the pool recently had no capacity. */
   boolean isExhausted(InstancePool pool, long now) {
     return poolBackoffUntil.getOrDefault(pool, 0L) > now;
   }
 
-  /** Requests machines of a pool, at most as many as fit into one request. */
+  /** Requests machines of a pool, at most as many as one request allows. */
   void provision(InstancePool pool, int wanted, long now) {
     int machines = Math.min(wanted, ScalingConstants.MAX_PROVISIONED_PER_REQUEST);
     ProvisionRequest request =
@@ -114,7 +113,7 @@
     if (outcome == ProvisionOutcome.UNKNOWN
         && pending.containsKey(request.name)
         && now - request.requestedAt < RETRY_LIMIT_MS) {
-      // Idempotent by its name: the answer tells what the first try provisioned.
+      // The name makes the retry idempotent: its answer lists what the first attempt provisioned.
       loop.after(ScalingConstants.SCALING_CHECK_MS, () -> send(request));
       return;
     }
--- a/src/main/java/org/sandford/scaling/ScaleIn.java
+++ b/src/main/java/org/sandford/scaling/ScaleIn.java
@@ -19,8 +19,8 @@
 import org.sandford.settings.Settings;
 
 /**
- * Asks owners to release machines that have been idle for long, the most expensive first, as long
- * as the headroom stays. Runs on the event loop, on the leader.
+ * Asks owners to release machines that have been idle for long, the most expensive first, while
+ * enough headroom remains. Runs on the event loop, on the leader.
  */
 final class ScaleIn {
   private final Settings.Operators operators;
@@ -28,7 +28,7 @@
   private final MachineSnapshots machineSnapshots;
   private final InstanceCatalog catalog;
 
-  /** Since when each idle machine is seen idle: a snapshot comes only when something changed. */
+  /** When each idle machine was first seen idle; snapshots arrive only on changes. */
   private final Map<String, Long> idleSince = new HashMap<>();
 
   ScaleIn(
@@ -42,7 +42,7 @@
     this.catalog = catalog;
   }
 
-  /** The CPUs of the machines that are up, and which of these machines may be released. */
+  /** The CPUs of the machines that are up, and the idle machines that may be released. */
   private static final class Usage {
     double totalCpus;
     double freeCpus;
@@ -50,7 +50,7 @@
     final List<ReceivedSnapshot> idle = new ArrayList<>();
   }
 
-  /** Releases idle machines other than those that the last scale-out plan wants. */
+  /** Releases idle machines except those on which the last scale-out plan placed tasks. */
   void releaseIdle(Set<String> machinesForDemand, long now) {
     Usage usage = measure(now);
     double headroom = ScalingConstants.HEADROOM_SHARE * usage.totalCpus;
--- a/src/main/java/org/sandford/scaling/ScaleOut.java
+++ b/src/main/java/org/sandford/scaling/ScaleOut.java
@@ -15,8 +15,8 @@
 import org.sandford.settings.Settings;
 
 /**
- * Decides which machines to provision, from the cluster's demand and what the fleet has or will
- * have. Runs on the event loop, on the leader.
+ * Decides which machines to provision from the cluster's demand and the current and pending
+ * machines. Runs on the event loop, on the leader.
  */
 final class ScaleOut {
   private final Settings.Operators operators;
@@ -45,12 +45,15 @@
     this.requests = requests;
   }
 
-  /** Machines on which the last plan placed waiting tasks; they are not to be decommissioned. */
+  /**
+   * Returns the machines on which the last plan placed waiting tasks; these must not be
+   * decommissioned.
+   */
   Set<String> machinesForDemand() {
     return machinesForDemand;
   }
 
-  /** How many machines of each pool the demand needs beyond those that there are. */
+  /** Returns how many machines of each pool to provision beyond the current and pending ones. */
   Map<InstancePool, Integer> plan(ClusterDemand demand, long now) {
     int machines =
         cluster.machines().of().size()
@@ -69,7 +72,10 @@
     return machinesByPool;
   }
 
-  /** Machines that serve or will: those that are up or boot, and those of pending requests. */
+  /**
+   * Returns the machines that run tasks now or will: up, booting, or expected from pending
+   * requests.
+   */
   private List<CandidateMachine> currentAndPendingMachines() {
     List<CandidateMachine> candidates = new ArrayList<>();
     for (Map.Entry<String, MachineAssignment> entry : cluster.machines().of().entrySet()) {
--- a/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
+++ b/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
@@ -18,17 +18,17 @@
 import org.sandford.placement.ResourceRequest;
 
 /**
- * Decides which machines to provision for what waits: the machines that there are, or will be, are
- * filled first, and what finds no place gets the cheapest machines that hold it. Pure: an instance
- * plans one moment and asks nobody.
+ * Plans which machines to provision for waiting tasks: fills the existing and expected machines
+ * first and adds the cheapest machines for the remaining tasks. An instance makes one plan and does
+ * no I/O.
  */
 final class ScaleOutPlanner {
   /**
-   * What the planner has to know of the cloud.
+   * What may be provisioned at the moment of the plan.
    *
    * @param instanceTypes the instance types, by name
    * @param useSpot whether the operators allow spot machines
-   * @param mayProvision whether the pool may be provisioned from at this moment
+   * @param mayProvision whether a pool may be used now
    */
   record Market(
       Map<String, InstanceType> instanceTypes,
@@ -38,28 +38,32 @@
   private final Market market;
   private final List<CandidateMachine> candidates;
 
-  /** CPUs of the fleet and of what is wanted: of equal prices, the zone with fewer is taken. */
+  /**
+   * CPUs by zone, including planned machines; of equal prices, the zone with fewer CPUs is used.
+   */
   private final Map<String, Double> cpusByZone = new HashMap<>();
 
   private final Map<InstancePool, Integer> machinesByPool = new LinkedHashMap<>();
   private final Set<String> machinesForDemand = new HashSet<>();
 
-  /** How many more machines the operators allow. */
+  /** How many more machines the operators' limit allows. */
   private int remainingMachines;
 
-  /** A plan for one moment; it takes from the candidates. */
+  /** Creates a planner for one plan, which takes resources from the candidates. */
   ScaleOutPlanner(Market market, List<CandidateMachine> candidates, int remainingMachines) {
     this.market = market;
     this.candidates = new ArrayList<>(candidates);
     this.remainingMachines = remainingMachines;
-    // Machines that are in use are filled first, so that idle ones can be decommissioned.
+    // Fills machines in use first, so that idle ones can be decommissioned.
     this.candidates.sort(
         Comparator.comparingDouble(
             (CandidateMachine candidate) -> candidate.freeCpus / candidate.cpus));
     candidates.forEach(candidate -> cpusByZone.merge(candidate.zone, candidate.cpus, Double::sum));
   }
 
-  /** How many machines of each pool to provision for the demand, which comes in order of rank. */
+  /**
+   * Returns how many machines of each pool to provision for the demand, which is ordered by rank.
+   */
   Map<InstancePool, Integer> plan(List<DemandClass> demand) {
     demand.forEach(this::planFor);
     if (machinesByPool.isEmpty()) {
@@ -68,7 +72,7 @@
     return machinesByPool;
   }
 
-  /** Machines, existing or new, on which the demand was placed. */
+  /** Returns the machines, existing or new, on which the demand was placed. */
   Set<String> machinesForDemand() {
     return machinesForDemand;
   }
@@ -90,8 +94,8 @@
   }
 
   /**
-   * Adds on-demand machines for a share of the fleet, since the work that may wait least runs on no
-   * others.
+   * Adds on-demand machines until a share of the fleet is free on them, since the most urgent work
+   * runs on no others.
    */
   private void addHeadroom() {
     double total = 0;
@@ -135,7 +139,7 @@
         "");
   }
 
-  /** Adds one machine of the pool to the wanted ones and to the candidates. */
+  /** Adds one machine of the pool to the plan and to the candidates. */
   private CandidateMachine addMachine(InstancePool pool) {
     CandidateMachine machine =
         pool.candidate(
@@ -147,9 +151,9 @@
   }
 
   /**
-   * The request of a job whose tasks must be together, bound to one zone: the one that it has, or
+   * Restricts the request of a job whose tasks must share a zone to one zone: that of its tasks, or
    * the one with the most free resources in which the rest can be provisioned. Machines provisioned
-   * in several zones would stay idle.
+   * in other zones would stay idle.
    */
   private ResourceRequest restrictToOneZone(ResourceRequest request, int count) {
     if (!request.sameZone() || !request.zone().isEmpty()) {
@@ -182,9 +186,8 @@
   }
 
   /**
-   * Places up to {@code count} tasks first fit and returns how many found a machine. It only tells
-   * what has to be provisioned, so it does without the score: one check of each machine for a whole
-   * class.
+   * Places up to {@code count} tasks first fit and returns how many fit. No score is needed to find
+   * out what to provision, so each machine is checked once for a whole class.
    */
   private int placeFirstFit(ResourceRequest request, int count, List<CandidateMachine> candidates) {
     Map<String, Integer> tasksByZone = new HashMap<>(request.tasksByZone());
--- a/src/test/java/org/sandford/placement/PlannerTest.java
+++ b/src/test/java/org/sandford/placement/PlannerTest.java
@@ -80,7 +80,7 @@
                 assertEquals(
                     freeBefore.get(candidate.machine),
                     candidate.freeCpus,
-                    "a plan that failed took room"));
+                    "a failed plan took resources"));
         continue;
       }
       Map<String, Integer> zones = new HashMap<>();
@@ -92,11 +92,11 @@
           candidate ->
               assertTrue(
                   candidate.freeCpus > -1e-6 && candidate.freeRam > -1e-6,
-                  "room of " + candidate.machine));
+                  "free resources of " + candidate.machine));
       for (int inZone : zones.values()) {
-        assertTrue(inZone <= request.maxTasksPerZone(), "scatter, seed " + seed);
+        assertTrue(inZone <= request.maxTasksPerZone(), "tasks per zone, seed " + seed);
       }
-      assertTrue(!request.sameZone() || zones.size() == 1, "together, seed " + seed);
+      assertTrue(!request.sameZone() || zones.size() == 1, "same zone, seed " + seed);
     }
   }
 
--- a/src/test/java/org/sandford/placement/PreemptionTest.java
+++ b/src/test/java/org/sandford/placement/PreemptionTest.java
@@ -58,7 +58,7 @@
         List.of(
             new CandidateMachine.Reservation("wk-1", 1, 40, 4, 0, 1),
             new CandidateMachine.Reservation("wk-2", 1, 60, 4, 0, 1));
-    assertEquals(1, REQUEST.countFitting(candidate), "one went before, the other after");
+    assertEquals(1, REQUEST.countFitting(candidate), "only wk-1 goes before the job");
   }
 
   private static Victim gangVictim(String machine, int task, double lossCpuS) {
@@ -76,12 +76,13 @@
             victim("n2", 1, 2, 4, 22),
             gangVictim("n3", 1, 100));
     List<Preemption.Eviction> one = Preemption.choose(REQUEST, 1, candidates, victims, true);
-    assertEquals("n0", one.get(0).candidate().machine, "80 for the array, 100 for the gang");
+    assertEquals(
+        "n0", one.get(0).candidate().machine, "losses: 80 for the array, 100 for the gang");
     List<Preemption.Eviction> two = Preemption.choose(REQUEST, 2, candidates, victims, true);
     assertEquals(
         List.of("n0", "n2"),
         two.stream().map(eviction -> eviction.candidate().machine).toList(),
-        "taken one by one");
+        "chosen one task at a time");
     List<Preemption.Eviction> four = Preemption.choose(REQUEST, 4, candidates, victims, true);
     assertEquals(4, four.size());
   }
--- a/src/test/java/org/sandford/scaling/ScaleOutPlannerTest.java
+++ b/src/test/java/org/sandford/scaling/ScaleOutPlannerTest.java
@@ -35,7 +35,7 @@
   }
 
   private Map<InstancePool, Integer> plan(DemandClass... demand) {
-    // Idle, so that no headroom has to be provisioned.
+    // An idle machine provides the headroom, so none has to be provisioned.
     addMachine(ON_DEMAND);
     return new ScaleOutPlanner(market(), candidates, MAX_MACHINES).plan(List.of(demand));
   }
