--- a/src/main/java/org/sandford/placement/Planner.java
+++ b/src/main/java/org/sandford/placement/Planner.java
@@ -138,11 +138,11 @@
       }
     }
     Draft draft = new Draft(request, count);
-    for (List<CandidateMachine> options : List.of(preferredCandidates, otherCandidates)) {
+    for (List<CandidateMachine> group : List.of(preferredCandidates, otherCandidates)) {
       if (request.service() || request.spreadAcrossZones()) {
-        spread(draft, options);
+        spread(draft, group);
       } else {
-        pack(draft, options);
+        pack(draft, group);
       }
     }
     return new Plan(draft.slots, draft.score, count - draft.remainingTasks);
@@ -297,10 +297,11 @@
     if (request.spotAllowed() && !candidate.spot) {
       cost += PlacementConstants.COST_ON_DEMAND;
     }
-    boolean byGpu = candidate.gpus > 0 && request.gpus() > 0;
-    double total = byGpu ? candidate.gpus : candidate.cpus;
-    double requested = byGpu ? request.gpus() : request.cpus();
-    double used = byGpu ? candidate.gpus - candidate.freeGpus : candidate.cpus - candidate.freeCpus;
+    boolean scoreByGpu = candidate.gpus > 0 && request.gpus() > 0;
+    double total = scoreByGpu ? candidate.gpus : candidate.cpus;
+    double requested = scoreByGpu ? request.gpus() : request.cpus();
+    double used =
+        scoreByGpu ? candidate.gpus - candidate.freeGpus : candidate.cpus - candidate.freeCpus;
     double fitness = total <= 0 ? 0 : -(requested * (plannedTasks + 1) + used) / total;
     return PlacementConstants.COST_WEIGHT * cost + (1 - PlacementConstants.COST_WEIGHT) * fitness;
   }
--- a/src/main/java/org/sandford/placement/Preemption.java
+++ b/src/main/java/org/sandford/placement/Preemption.java
@@ -94,9 +94,11 @@
     this.requiredZone =
         request.sameZone() ? tasksByZone.keySet().stream().findFirst().orElse("") : "";
     for (Victim victim : victims) {
-      victimsByMachine.computeIfAbsent(victim.machine, m -> new ArrayList<>()).add(victim);
+      victimsByMachine.computeIfAbsent(victim.machine, machine -> new ArrayList<>()).add(victim);
       if (victim.isInGang()) {
-        machinesByGang.computeIfAbsent(victim.gang, g -> new LinkedHashSet<>()).add(victim.machine);
+        machinesByGang
+            .computeIfAbsent(victim.gang, gang -> new LinkedHashSet<>())
+            .add(victim.machine);
       }
     }
     victimsByMachine.values().forEach(this::sortVictims);
@@ -274,9 +276,9 @@
     return best;
   }
 
-  private static boolean isBetter(List<Eviction> one, List<Eviction> other) {
-    int byTasks = Integer.compare(totalTasks(one), totalTasks(other));
-    return byTasks > 0 || (byTasks == 0 && totalLoss(one) < totalLoss(other));
+  private static boolean isBetter(List<Eviction> evictions, List<Eviction> other) {
+    int byTasks = Integer.compare(totalTasks(evictions), totalTasks(other));
+    return byTasks > 0 || (byTasks == 0 && totalLoss(evictions) < totalLoss(other));
   }
 
   private static int totalTasks(List<Eviction> evictions) {
--- a/src/main/java/org/sandford/scaling/Drain.java
+++ b/src/main/java/org/sandford/scaling/Drain.java
@@ -138,12 +138,12 @@
     }
     boolean underutilized =
         used > 0 && used <= candidate.cpus * ScalingConstants.DRAIN_BELOW_UTILIZATION;
-    if (underutilized && !wasCancelledLately(snapshot.machine, now)) {
+    if (underutilized && !wasCancelledRecently(snapshot.machine, now)) {
       fleet.drainable.add(received);
     }
   }
 
-  private boolean wasCancelledLately(String machine, long now) {
+  private boolean wasCancelledRecently(String machine, long now) {
     Long cancelled = cancelledAt.get(machine);
     return cancelled != null && now - cancelled <= 2L * ScalingConstants.DRAIN_TIMEOUT_MS;
   }
--- a/src/main/java/org/sandford/scaling/MachineReplacement.java
+++ b/src/main/java/org/sandford/scaling/MachineReplacement.java
@@ -67,7 +67,7 @@
         continue;
       }
       if (snapshot.state == MachineState.LOST) {
-        if (!zones.keepsLostMachines(snapshot.zone, now)
+        if (!zones.mustKeepLostMachines(snapshot.zone, now)
             && !tryOtherOwner(received, countsByOwner, now)) {
           // Decommissioned without its owner: if the cloud is unavailable, the machine can still
           // return to service.
--- a/src/main/java/org/sandford/scaling/ProvisionRequests.java
+++ b/src/main/java/org/sandford/scaling/ProvisionRequests.java
@@ -83,8 +83,8 @@
   }
 
   /** Requests machines of a pool, at most as many as one request allows. */
-  void provision(InstancePool pool, int wanted, long now) {
-    int machines = Math.min(wanted, ScalingConstants.MAX_PROVISIONED_PER_REQUEST);
+  void provision(InstancePool pool, int requestedMachines, long now) {
+    int machines = Math.min(requestedMachines, ScalingConstants.MAX_PROVISIONED_PER_REQUEST);
     ProvisionRequest request =
         new ProvisionRequest(cluster.newProvisionRequestId(), pool, machines, now);
     pending.put(request.name, request);
--- a/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
+++ b/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
@@ -98,22 +98,22 @@
    * runs on no others.
    */
   private void addHeadroom() {
-    double total = 0;
-    double free = 0;
+    double totalCpus = 0;
+    double freeCpus = 0;
     for (CandidateMachine candidate : candidates) {
-      total += candidate.cpus;
-      free += candidate.spot ? 0 : Math.max(0, candidate.freeCpus);
+      totalCpus += candidate.cpus;
+      freeCpus += candidate.spot ? 0 : Math.max(0, candidate.freeCpus);
     }
     ResourceRequest oneCpuRequest =
         new ResourceRequest(
             "", 0, 0, 1, 0, 1, Set.of(), "", false, false, false, false, false, 1, Map.of(),
             Set.of(), Set.of(), "");
-    while (free < ScalingConstants.HEADROOM_SHARE * total && remainingMachines > 0) {
+    while (freeCpus < ScalingConstants.HEADROOM_SHARE * totalCpus && remainingMachines > 0) {
       InstancePool pool = cheapestPool(oneCpuRequest, ScalingConstants.HEADROOM_TASKS);
       if (pool == null) {
         return;
       }
-      free += addMachine(pool).cpus;
+      freeCpus += addMachine(pool).cpus;
     }
   }
 
--- a/src/main/java/org/sandford/scaling/UnreachableZones.java
+++ b/src/main/java/org/sandford/scaling/UnreachableZones.java
@@ -37,9 +37,9 @@
     } else {
       detectUntil.remove(zone);
     }
-    boolean nearlyAllLost =
+    boolean mostLost =
         severalLost && count.lost() >= count.total() * ScalingConstants.UNREACHABLE_ZONE_SHARE;
-    if (!nearlyAllLost) {
+    if (!mostLost) {
       unreachableSince.remove(zone);
     } else if (unreachableSince.putIfAbsent(zone, now) == null) {
       log.info("zone unreachable zone={} lost={} machines={}", zone, count.lost(), count.total());
@@ -55,7 +55,7 @@
   }
 
   /** Whether lost machines of the zone must be kept, since it is or may prove unreachable. */
-  boolean keepsLostMachines(String zone, long now) {
+  boolean mustKeepLostMachines(String zone, long now) {
     return isUnreachable(zone, now) || now < detectUntil.getOrDefault(zone, 0L);
   }
 }
--- a/src/test/java/org/sandford/scaling/ClusterDemandTest.java
+++ b/src/test/java/org/sandford/scaling/ClusterDemandTest.java
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void lowerRanksGoFirstAndThenWhatHasWaitedLonger() {
+  void demandIsOrderedByRankAndThenByWaitingTime() {
     DemandClass urgent = demandOf(1, 0);
     DemandClass longWaiting = demandOf(2, 60);
     DemandClass fresh = demandOf(2, 1);
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void reportReplacesTheFormerOneOfTheSameController() {
+  void reportReplacesThePreviousOneOfTheSameController() {
     DemandClass latest = demandOf(1, 2);
     demand.report("worker-1", List.of(demandOf(1, 1)));
     demand.report("worker-1", List.of(latest));
--- a/src/test/java/org/sandford/scaling/UnreachableZonesTest.java
+++ b/src/test/java/org/sandford/scaling/UnreachableZonesTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void zoneOfWhichNearlyAllMachinesAreLostIsUnreachableForAWhile() {
+  void zoneIsUnreachableForALimitedTimeWhenMostMachinesAreLost() {
     update(MIN_LOST, MIN_LOST + 1, 0);
     assertTrue(zones.isUnreachable(ZONE, 0));
     assertTrue(zones.isUnreachable(ZONE, ScalingConstants.UNREACHABLE_ZONE_RETENTION_MS - 1));
@@ -34,20 +34,20 @@
     update(MIN_LOST, MIN_LOST, 0);
     update(0, MIN_LOST, 1);
     assertFalse(zones.isUnreachable(ZONE, 1));
-    assertFalse(zones.keepsLostMachines(ZONE, 1));
+    assertFalse(zones.mustKeepLostMachines(ZONE, 1));
   }
 
   @Test
-  void severalLostMachinesOfALargeZoneAreKeptOnlyUntilItIsKnownThatTheOthersAnswer() {
+  void lostMachinesOfALargeZoneAreKeptOnlyDuringDetection() {
     update(MIN_LOST, MIN_LOST * 10, 0);
     assertFalse(zones.isUnreachable(ZONE, 0));
-    assertTrue(zones.keepsLostMachines(ZONE, 0));
-    assertFalse(zones.keepsLostMachines(ZONE, ScalingConstants.UNREACHABLE_ZONE_DETECT_MS));
+    assertTrue(zones.mustKeepLostMachines(ZONE, 0));
+    assertFalse(zones.mustKeepLostMachines(ZONE, ScalingConstants.UNREACHABLE_ZONE_DETECT_MS));
   }
 
   @Test
   void fewLostMachinesAreNotKept() {
     update(MIN_LOST - 1, MIN_LOST - 1, 0);
-    assertFalse(zones.keepsLostMachines(ZONE, 0));
+    assertFalse(zones.mustKeepLostMachines(ZONE, 0));
   }
 }
