--- a/src/main/java/org/sandford/placement/CandidateMachine.java
+++ b/src/main/java/org/sandford/placement/CandidateMachine.java
@@ -4,30 +4,31 @@
 import java.util.Set;
 
 /**
- * A machine as placement sees it: what it is, and what of it is free. Planning takes from it, so a
- * candidate serves one round. CPUs and accelerators are counted, memory is in GB.
+ * A machine with its attributes and free resources, as input to placement. Planning takes resources
+ * from it, so a candidate is valid for one planning round. CPUs and accelerators are counts, memory
+ * is in GB.
  */
 public final class CandidateMachine {
-  /** Resources reserved for a job, from all jobs behind it in order. */
+  /** Resources reserved for a job against all jobs that go after it. */
   public record Reservation(
       String job, int rank, long acceptedAt, double cpus, double gpus, double ram) {}
 
-  private static final double[] NOTHING = new double[3];
+  private static final double[] NO_RESOURCES = new double[3];
 
   public final String machine;
   public final String owner;
-  public final String kind;
+  public final String instanceType;
   public final String zone;
   public final boolean spot;
-  public final boolean own;
+  public final boolean ownedLocally;
   public final double cpus;
   public final double gpus;
   public final double ram;
 
-  /** Images that the machine is known to have. */
+  /** Images known to be cached on the machine. */
   public Set<String> images = Set.of();
 
-  /** What of the resources is reserved for jobs. */
+  /** Resources of this machine that are reserved for jobs. */
   public List<Reservation> reservations = List.of();
 
   public double freeCpus;
@@ -35,27 +36,27 @@
   public double freeRam;
 
   /**
-   * Makes a machine of which everything is free.
+   * Creates a machine whose resources are all free.
    *
    * @param owner label of the controller that owns it
-   * @param own whether this controller owns it
+   * @param ownedLocally whether this controller owns it
    */
   public CandidateMachine(
       String machine,
       String owner,
-      String kind,
+      String instanceType,
       String zone,
       boolean spot,
-      boolean own,
+      boolean ownedLocally,
       double cpus,
       double gpus,
       double ram) {
     this.machine = machine;
     this.owner = owner;
-    this.kind = kind;
+    this.instanceType = instanceType;
     this.zone = zone;
     this.spot = spot;
-    this.own = own;
+    this.ownedLocally = ownedLocally;
     this.cpus = cpus;
     this.gpus = gpus;
     this.ram = ram;
@@ -64,36 +65,44 @@
     this.freeRam = ram;
   }
 
-  /** The CPUs, accelerators and memory that are reserved for jobs that go before this one. */
-  public double[] reservedForOthers(ResourceRequest need) {
+  /**
+   * Returns the CPUs, accelerators and memory that are reserved for jobs that go before this one.
+   */
+  public double[] reservedForOthers(ResourceRequest request) {
     if (reservations.isEmpty()) {
-      return NOTHING;
+      return NO_RESOURCES;
     }
     double[] sum = new double[3];
-    for (Reservation k : reservations) {
+    for (Reservation reservation : reservations) {
       if (ResourceRequest.yieldsTo(
-          need.rank(), need.acceptedAt(), need.job(), k.rank, k.acceptedAt, k.job)) {
-        sum[0] += k.cpus;
-        sum[1] += k.gpus;
-        sum[2] += k.ram;
+          request.rank(),
+          request.acceptedAt(),
+          request.job(),
+          reservation.rank,
+          reservation.acceptedAt,
+          reservation.job)) {
+        sum[0] += reservation.cpus;
+        sum[1] += reservation.gpus;
+        sum[2] += reservation.ram;
       }
     }
     return sum;
   }
 
   /**
-   * What is reserved for the job itself; the tasks that were preempted for it may still be there.
+   * Returns the resources reserved for the job itself; tasks preempted for it may still occupy
+   * them.
    */
-  public double[] reservedFor(ResourceRequest need) {
-    for (Reservation k : reservations) {
-      if (k.job.equals(need.job())) {
-        return new double[] {k.cpus, k.gpus, k.ram};
+  public double[] reservedFor(ResourceRequest request) {
+    for (Reservation reservation : reservations) {
+      if (reservation.job.equals(request.job())) {
+        return new double[] {reservation.cpus, reservation.gpus, reservation.ram};
       }
     }
-    return NOTHING;
+    return NO_RESOURCES;
   }
 
-  /** Takes resources from what is free. */
+  /** Subtracts resources from the free ones. */
   public void take(double takenCpus, double takenGpus, double takenRam) {
     freeCpus -= takenCpus;
     freeGpus -= takenGpus;
--- a/src/main/java/org/sandford/scaling/Drain.java
+++ b/src/main/java/org/sandford/scaling/Drain.java
@@ -21,9 +21,9 @@
 import org.sandford.placement.CandidateMachine;
 
 /**
- * Drains machines whose tasks fit on the others. Services run for long, so a fleet that grew for a
- * burst would otherwise be kept for a few of them on each machine. Runs on the event loop, on the
- * leader.
+ * Drains machines whose tasks fit on other machines. Services run for long, so a fleet that grew
+ * for a burst would otherwise stay up for a few services on each machine. Runs on the event loop,
+ * on the leader.
  */
 final class Drain {
   private final PeerLinks links;
@@ -38,7 +38,7 @@
     this.catalog = catalog;
   }
 
-  /** The machines that are up at one moment, and which of them have little work. */
+  /** The machines that are up, and those of them with little work. */
   private static final class Fleet {
     final Map<String, CandidateMachine> candidates = new LinkedHashMap<>();
     final Map<String, Integer> onDemandByZone = new HashMap<>();
@@ -52,23 +52,23 @@
           (int) (candidates.size() * ScalingConstants.CONCURRENT_DRAIN_SHARE));
     }
 
-    /** Whether the machine is the zone's last on-demand one, which must stay. */
-    boolean isLastOfZone(MachineSnapshot snapshot) {
+    /** Whether the machine is the last on-demand one of its zone, which must stay. */
+    boolean isLastOnDemandInZone(MachineSnapshot snapshot) {
       return !snapshot.spot && onDemandByZone.get(snapshot.zone) <= 1;
     }
   }
 
   /**
-   * Cancels drains that take too long, and begins another one, on the most expensive machine for
-   * its work, unless the fleet is growing.
+   * Cancels drains that take too long. Starts at most one drain, on the machine with the highest
+   * price per used CPU, unless the fleet is growing.
    *
-   * @param growing whether anything waits for resources or machines are being provisioned
+   * @param isGrowing whether anything waits for resources or machines are being provisioned
    */
-  void run(long now, BooleanSupplier growing) {
-    drainingSince.keySet().removeIf(name -> !isDraining(name));
-    Fleet fleet = measure(now);
-    cancelledAt.keySet().removeIf(name -> machineSnapshots.get(name) == null);
-    if (fleet.draining >= fleet.maxConcurrentDrains() || growing.getAsBoolean()) {
+  void run(long now, BooleanSupplier isGrowing) {
+    drainingSince.keySet().removeIf(machine -> !isDraining(machine));
+    Fleet fleet = measureFleet(now);
+    cancelledAt.keySet().removeIf(machine -> machineSnapshots.get(machine) == null);
+    if (fleet.draining >= fleet.maxConcurrentDrains() || isGrowing.getAsBoolean()) {
       return;
     }
     fleet.drainable.sort(
@@ -77,7 +77,7 @@
                 -pricePerUsedCpu(fleet.candidates.get(received.snapshot().machine))));
     for (ReceivedSnapshot received : fleet.drainable) {
       MachineSnapshot snapshot = received.snapshot();
-      if (!fleet.isLastOfZone(snapshot) && fitsElsewhere(snapshot, fleet)) {
+      if (!fleet.isLastOnDemandInZone(snapshot) && fitsElsewhere(snapshot, fleet)) {
         drainingSince.put(snapshot.machine, now);
         links.request(received.owner(), new DrainMachine(snapshot.machine, true));
         return;
@@ -90,7 +90,7 @@
     return received != null && received.snapshot().draining;
   }
 
-  private Fleet measure(long now) {
+  private Fleet measureFleet(long now) {
     Fleet fleet = new Fleet();
     for (ReceivedSnapshot received : machineSnapshots.all()) {
       MachineSnapshot snapshot = received.snapshot();
@@ -105,7 +105,7 @@
         fleet.draining++;
         cancelIfOverdue(received, now);
       } else {
-        add(received, fleet, now);
+        addToFleet(received, fleet, now);
       }
     }
     return fleet;
@@ -120,7 +120,7 @@
     }
   }
 
-  private void add(ReceivedSnapshot received, Fleet fleet, long now) {
+  private void addToFleet(ReceivedSnapshot received, Fleet fleet, long now) {
     MachineSnapshot snapshot = received.snapshot();
     CandidateMachine candidate =
         catalog.candidate(snapshot.machine, snapshot.instanceType, snapshot.zone, snapshot.spot);
@@ -136,24 +136,24 @@
     if (!snapshot.spot) {
       fleet.onDemandByZone.merge(snapshot.zone, 1, Integer::sum);
     }
-    boolean littleWork =
+    boolean underutilized =
         used > 0 && used <= candidate.cpus * ScalingConstants.DRAIN_BELOW_UTILIZATION;
-    if (littleWork && !wasCancelledLately(snapshot.machine, now)) {
+    if (underutilized && !wasCancelledRecently(snapshot.machine, now)) {
       fleet.drainable.add(received);
     }
   }
 
-  private boolean wasCancelledLately(String machine, long now) {
+  private boolean wasCancelledRecently(String machine, long now) {
     Long cancelled = cancelledAt.get(machine);
     return cancelled != null && now - cancelled <= 2L * ScalingConstants.DRAIN_TIMEOUT_MS;
   }
 
   private double pricePerUsedCpu(CandidateMachine candidate) {
-    return catalog.get(candidate.kind).price(candidate.spot)
+    return catalog.get(candidate.instanceType).price(candidate.spot)
         / (candidate.cpus - candidate.freeCpus);
   }
 
-  /** Whether the machine's tasks fit on the others, in their zone, with the headroom left. */
+  /** Whether the machine's tasks fit on other machines of its zone and leave the headroom free. */
   private static boolean fitsElsewhere(MachineSnapshot snapshot, Fleet fleet) {
     List<FreeAmounts> others = new ArrayList<>();
     double freeCpus = 0;
@@ -180,7 +180,7 @@
 
   private static boolean takeFirstFit(TaskSnapshot task, List<FreeAmounts> machines) {
     for (FreeAmounts machine : machines) {
-      if (machine.holds(task)) {
+      if (machine.fits(task)) {
         machine.take(task);
         return true;
       }
@@ -188,7 +188,7 @@
     return false;
   }
 
-  /** What is free on a machine while tasks are tried on it. */
+  /** The free resources of a machine during a trial placement. */
   private static final class FreeAmounts {
     private double cpus;
     private double gpus;
@@ -200,7 +200,7 @@
       ram = candidate.freeRam;
     }
 
-    boolean holds(TaskSnapshot task) {
+    boolean fits(TaskSnapshot task) {
       return task.cpus <= cpus + PlacementConstants.EPSILON
           && task.gpus <= gpus + PlacementConstants.EPSILON
           && task.ram <= ram + PlacementConstants.EPSILON;
@@ -214,21 +214,21 @@
   }
 
   /**
-   * Lets all draining machines serve again: sooner and cheaper than provisioning others.
+   * Cancels all drains, which frees capacity sooner and cheaper than provisioning machines.
    *
-   * @return whether there were any
+   * @return whether any machine was draining
    */
   boolean cancelAll() {
-    boolean any = false;
+    boolean anyCancelled = false;
     for (ReceivedSnapshot received : machineSnapshots.all()) {
       MachineSnapshot snapshot = received.snapshot();
       if (snapshot.draining
           && snapshot.state == MachineState.UP
           && machineSnapshots.isFromOwner(received)) {
         links.request(received.owner(), new DrainMachine(snapshot.machine, false));
-        any = true;
+        anyCancelled = true;
       }
     }
-    return any;
+    return anyCancelled;
   }
 }
--- a/src/main/java/org/sandford/scaling/MachineReplacement.java
+++ b/src/main/java/org/sandford/scaling/MachineReplacement.java
@@ -14,14 +14,14 @@
 
 /**
  * Removes lost and quarantined machines from the fleet, so that scaling out replaces them.
- * Decommissioning a lost machine frees its tasks sooner than its lease would. Runs on the event
- * loop, on the leader.
+ * Decommissioning a lost machine frees its tasks before its lease expires. Runs on the event loop,
+ * on the leader.
  */
 final class MachineReplacement {
-  /** Lost machines of one owner from which on the owner itself may be partitioned. */
+  /** Number of an owner's lost machines from which on the owner itself may be partitioned. */
   private static final int PARTITIONED_OWNER_MIN_LOST = 3;
 
-  /** Milliseconds after which a machine that is still lost may be reassigned once more. */
+  /** Milliseconds after which a machine that is still lost may be reassigned again. */
   private static final long REASSIGN_INTERVAL_MS = 60_000;
 
   /** Milliseconds that the new owner has to reach a reassigned machine. */
@@ -50,11 +50,14 @@
     this.zones = zones;
   }
 
-  /** Checks all machines once. */
+  /**
+   * Decommissions lost machines and a few quarantined ones; reassigns machines of a partitioned
+   * owner.
+   */
   void replaceFailed(long now) {
     Map<String, MachineCount> countsByOwner = new HashMap<>();
     Map<String, MachineCount> countsByZone = new HashMap<>();
-    count(countsByOwner, countsByZone);
+    countMachines(countsByOwner, countsByZone);
     zones.update(countsByZone, now);
     int quarantined = 0;
     List<String> lost = new ArrayList<>();
@@ -64,10 +67,10 @@
         continue;
       }
       if (snapshot.state == MachineState.LOST) {
-        if (!zones.keepsLostMachines(snapshot.zone, now)
-            && !isOtherOwnerTried(received, countsByOwner, now)) {
-          // Its owner does not release it: while the cloud takes no requests, it serves again when
-          // it comes back.
+        if (!zones.mustKeepLostMachines(snapshot.zone, now)
+            && !tryOtherOwner(received, countsByOwner, now)) {
+          // Decommissioned without its owner: if the cloud is unavailable, the machine can still
+          // return to service.
           lost.add(snapshot.machine);
         }
       } else if (snapshot.quarantined
@@ -77,12 +80,12 @@
         links.request(received.owner(), new DecommissionMachine(snapshot.machine, true));
       }
     }
-    reassignedAt.values().removeIf(at -> now - at > REASSIGN_RETENTION_MS);
+    reassignedAt.values().removeIf(reassigned -> now - reassigned > REASSIGN_RETENTION_MS);
     inventory.decommission(lost);
   }
 
-  /** Counts the machines that came up, and how many of them are lost. */
-  private void count(
+  /** Counts, by owner and by zone, the machines that came up and how many of them are lost. */
+  private void countMachines(
       Map<String, MachineCount> countsByOwner, Map<String, MachineCount> countsByZone) {
     for (MachineSnapshots.ReceivedSnapshot received : machineSnapshots.all()) {
       MachineSnapshot snapshot = received.snapshot();
@@ -96,10 +99,11 @@
   }
 
   /**
-   * Whether a lost machine is left to another owner first. When most machines of one owner are
-   * lost, rather the owner is partitioned than so many machines, and another one may reach them.
+   * Moves a lost machine to another owner if its owner seems partitioned; returns whether to keep
+   * the machine for now. When most machines of one owner are lost, the owner is probably
+   * partitioned, and another one may reach them.
    */
-  private boolean isOtherOwnerTried(
+  private boolean tryOtherOwner(
       MachineSnapshots.ReceivedSnapshot received,
       Map<String, MachineCount> countsByOwner,
       long now) {
@@ -107,7 +111,7 @@
     Long reassigned = reassignedAt.get(machine);
     if (isPartitioned(received.owner(), countsByOwner)
         && (reassigned == null || now - reassigned > REASSIGN_INTERVAL_MS)) {
-      String newOwner = ownerOfFewest(received.owner());
+      String newOwner = memberWithFewestMachines(received.owner());
       if (!newOwner.isEmpty()) {
         reassignedAt.put(machine, now);
         cluster.moveMachine(machine, newOwner);
@@ -125,8 +129,11 @@
         && countsByOwner.size() > 1;
   }
 
-  /** The member with the fewest machines other than this one, or an empty text if there is none. */
-  private String ownerOfFewest(String excludedLabel) {
+  /**
+   * Returns the member with the fewest machines except this one, or an empty string if there is
+   * none.
+   */
+  private String memberWithFewestMachines(String excludedLabel) {
     String best = "";
     int fewest = Integer.MAX_VALUE;
     for (String member : cluster.memberIds()) {
--- a/src/main/java/org/sandford/scaling/ScaleIn.java
+++ b/src/main/java/org/sandford/scaling/ScaleIn.java
@@ -19,8 +19,8 @@
 import org.sandford.settings.Settings;
 
 /**
- * Asks owners to release machines that have been idle for long, the most expensive first, as long
- * as the headroom stays. Runs on the event loop, on the leader.
+ * Asks owners to release machines that have been idle for long, the most expensive first, while
+ * enough headroom remains. Runs on the event loop, on the leader.
  */
 final class ScaleIn {
   private final Settings.Operators operators;
@@ -28,7 +28,7 @@
   private final MachineSnapshots machineSnapshots;
   private final InstanceCatalog catalog;
 
-  /** Since when each idle machine is seen idle: a snapshot comes only when something changed. */
+  /** When each idle machine was first seen idle; snapshots arrive only on changes. */
   private final Map<String, Long> idleSince = new HashMap<>();
 
   ScaleIn(
@@ -42,7 +42,7 @@
     this.catalog = catalog;
   }
 
-  /** The CPUs of the machines that are up, and which of these machines may be released. */
+  /** The CPUs of the machines that are up, and the idle machines that may be released. */
   private static final class Usage {
     double totalCpus;
     double freeCpus;
@@ -50,19 +50,19 @@
     final List<ReceivedSnapshot> idle = new ArrayList<>();
   }
 
-  /** Releases idle machines other than those that the last scale-out plan wants. */
-  void releaseIdle(Set<String> wantedMachines, long now) {
+  /** Releases idle machines except those on which the last scale-out plan placed tasks. */
+  void releaseIdle(Set<String> machinesForDemand, long now) {
     Usage usage = measure(now);
     double headroom = ScalingConstants.HEADROOM_SHARE * usage.totalCpus;
     usage.idle.sort(Comparator.comparingDouble((ReceivedSnapshot idle) -> -pricePerCpu(idle)));
     for (ReceivedSnapshot received : usage.idle) {
       MachineSnapshot snapshot = received.snapshot();
       double cpus = catalog.get(snapshot.instanceType).cpus();
-      boolean lastOfZone =
+      boolean lastOnDemandInZone =
           !snapshot.spot && usage.onDemandByZone.getOrDefault(snapshot.zone, 0) <= 1;
-      if (lastOfZone
+      if (lastOnDemandInZone
           || usage.freeCpus - cpus < headroom
-          || wantedMachines.contains(snapshot.machine)) {
+          || machinesForDemand.contains(snapshot.machine)) {
         continue;
       }
       usage.freeCpus -= cpus;
@@ -75,7 +75,7 @@
 
   private Usage measure(long now) {
     Usage usage = new Usage();
-    idleSince.keySet().removeIf(name -> machineSnapshots.get(name) == null);
+    idleSince.keySet().removeIf(machine -> machineSnapshots.get(machine) == null);
     for (ReceivedSnapshot received : machineSnapshots.all()) {
       MachineSnapshot snapshot = received.snapshot();
       InstanceType instanceType = catalog.get(snapshot.instanceType);
--- a/src/main/java/org/sandford/scaling/ScaleOut.java
+++ b/src/main/java/org/sandford/scaling/ScaleOut.java
@@ -15,8 +15,8 @@
 import org.sandford.settings.Settings;
 
 /**
- * Decides which machines to provision, from the cluster's demand and what the fleet has or will
- * have. Runs on the event loop, on the leader.
+ * Decides which machines to provision from the cluster's demand and the current and pending
+ * machines. Runs on the event loop, on the leader.
  */
 final class ScaleOut {
   private final Settings.Operators operators;
@@ -26,7 +26,7 @@
   private final InstanceInventory inventory;
   private final UnreachableZones zones;
   private final ProvisionRequests requests;
-  private Set<String> wantedMachines = Set.of();
+  private Set<String> machinesForDemand = Set.of();
 
   ScaleOut(
       Settings.Operators operators,
@@ -45,12 +45,15 @@
     this.requests = requests;
   }
 
-  /** Machines on which the last plan placed waiting tasks; they are not to be decommissioned. */
-  Set<String> wantedMachines() {
-    return wantedMachines;
+  /**
+   * Returns the machines on which the last plan placed waiting tasks; these must not be
+   * decommissioned.
+   */
+  Set<String> machinesForDemand() {
+    return machinesForDemand;
   }
 
-  /** How many machines of each pool the demand needs beyond those that there are. */
+  /** Returns how many machines of each pool to provision beyond the current and pending ones. */
   Map<InstancePool, Integer> plan(ClusterDemand demand, long now) {
     int machines =
         cluster.machines().of().size()
@@ -62,17 +65,21 @@
             operators.useSpot(),
             pool -> !zones.isUnreachable(pool.zone(), now) && !requests.isExhausted(pool, now));
     ScaleOutPlanner planner =
-        new ScaleOutPlanner(market, supply(), operators.maxMachines() - machines);
-    Map<InstancePool, Integer> wanted = planner.provisionFor(demand.current(now));
-    wantedMachines = planner.wantedMachines();
-    return wanted;
+        new ScaleOutPlanner(
+            market, currentAndPendingMachines(), operators.maxMachines() - machines);
+    Map<InstancePool, Integer> machinesByPool = planner.plan(demand.current(now));
+    machinesForDemand = planner.machinesForDemand();
+    return machinesByPool;
   }
 
-  /** Machines that serve or will: those that are up or boot, and those of pending requests. */
-  private List<CandidateMachine> supply() {
+  /**
+   * Returns the machines that run tasks now or will: up, booting, or expected from pending
+   * requests.
+   */
+  private List<CandidateMachine> currentAndPendingMachines() {
     List<CandidateMachine> candidates = new ArrayList<>();
     for (Map.Entry<String, MachineAssignment> entry : cluster.machines().of().entrySet()) {
-      addIfServing(candidates, entry.getKey(), entry.getValue());
+      addIfUsable(candidates, entry.getKey(), entry.getValue());
     }
     for (Cluster.NewMachine added : cluster.machinesBeingAdded()) {
       if (catalog.get(added.kind()) != null) {
@@ -83,7 +90,7 @@
     return candidates;
   }
 
-  private void addIfServing(
+  private void addIfUsable(
       List<CandidateMachine> candidates, String name, MachineAssignment assignment) {
     if (catalog.get(assignment.kind()) == null || inventory.isDecommissioning(name)) {
       return;
