--- a/src/main/java/org/sandford/job/AssignedMachines.java
+++ b/src/main/java/org/sandford/job/AssignedMachines.java
@@ -5,8 +5,8 @@
 import org.sandford.cluster.Cluster;
 
 /**
- * Follows the machines of the assignment map. Only machines that changed are gone through: the map
- * of a large cluster changes in parts, several times a second. Runs on the event loop.
+ * Applies changes of the machines' assignment map. Processes only the differences, since the map of
+ * a large cluster changes in parts, several times a second. Runs on the event loop.
  */
 final class AssignedMachines {
   private final Cluster cluster;
@@ -14,7 +14,7 @@
   private final UntrackedTasks untracked;
   private final PlacementLedger ledger;
 
-  /** The machines of the map when it was applied last. */
+  /** The map as of the last call of {@link #applyMap}. */
   private Map<String, MachineAssignment> applied = Map.of();
 
   AssignedMachines(
@@ -28,7 +28,7 @@
     this.ledger = ledger;
   }
 
-  /** Applies what changed in the map since the last call. */
+  /** Applies the changes of the map since the last call. */
   void applyMap() {
     Map<String, MachineAssignment> current = cluster.machines().of();
     if (current == applied) {
@@ -49,7 +49,7 @@
     }
   }
 
-  /** The machine was decommissioned, and all that was on it is gone. */
+  /** Handles a machine that was decommissioned, and whose tasks are gone. */
   private void removed(String machine) {
     candidates.invalidate(machine);
     untracked.machineRemoved(machine);
--- a/src/main/java/org/sandford/job/Attempt.java
+++ b/src/main/java/org/sandford/job/Attempt.java
@@ -2,7 +2,7 @@
 
 import org.sandford.peer.wire.TaskSnapshot;
 
-/** The identity of one attempt of one task of one job, as snapshots and placements name it. */
+/** Identifies one attempt of a task in snapshots and placements. */
 record Attempt(String job, int task, long number) {
   static Attempt of(TaskSnapshot snapshot) {
     return new Attempt(snapshot.job, snapshot.task, snapshot.attempt);
--- a/src/main/java/org/sandford/job/CandidateMachines.java
+++ b/src/main/java/org/sandford/job/CandidateMachines.java
@@ -22,9 +22,9 @@
 import org.sandford.placement.CandidateMachine;
 
 /**
- * The free resources of every machine, and which tasks of this controller's jobs are placed where.
- * Both are brought up to date for machines that changed only: for all of them at each plan, that
- * costs more than the plan. Runs on the event loop.
+ * The free resources of all machines, and the placements of this controller's jobs by machine. Only
+ * machines that changed are recomputed: to recompute all of them costs more than a plan. Runs on
+ * the event loop.
  */
 final class CandidateMachines {
   private final MachineSnapshots machineSnapshots;
@@ -50,18 +50,18 @@
     this.instanceTypes = instanceTypes;
   }
 
-  /** What is known of the machine has changed, so its free resources are counted anew. */
+  /** Marks the machine's free resources to be recomputed. */
   void invalidate(String machine) {
     stale.add(machine);
   }
 
-  /** Anything may have changed. */
+  /** Marks the free resources of all machines to be recomputed. */
   void invalidateAll() {
     stale.addAll(candidates.keySet());
     machineSnapshots.all().forEach(received -> stale.add(received.snapshot().machine));
   }
 
-  /** The placement takes resources of its machine, whether its owner reports the task or not. */
+  /** Deducts the placement's resources from its machine, reported by the owner or not. */
   void addPlacement(TaskPlacement placement) {
     placementsByMachine
         .computeIfAbsent(placement.machine, machine -> new LinkedHashSet<>())
@@ -69,7 +69,7 @@
     stale.add(placement.machine);
   }
 
-  /** The placement takes no more than its machine's snapshot says. */
+  /** Stops deducting the placement's resources beyond those in its machine's snapshot. */
   void removePlacement(TaskPlacement placement) {
     Set<TaskPlacement> onMachine = placementsByMachine.get(placement.machine);
     if (onMachine != null && onMachine.remove(placement)) {
@@ -80,22 +80,22 @@
     }
   }
 
-  /** The attempts of this controller's jobs that are, or may be, on the machine. */
+  /** Returns the attempts of this controller's jobs that are or may be on the machine. */
   List<TaskPlacement> placementsOn(String machine) {
     Set<TaskPlacement> onMachine = placementsByMachine.get(machine);
     return onMachine == null ? List.of() : new ArrayList<>(onMachine);
   }
 
   /**
-   * Rises whenever free resources may have grown: what found no place before need not be tried
-   * until then.
+   * Returns a counter that rises whenever free resources may have grown. A job that could not be
+   * placed need not be tried again while the counter is unchanged.
    */
   long capacityGrowth() {
     refresh();
     return capacityGrowth;
   }
 
-  /** The machines that may get tasks and whose owner takes requests now. */
+  /** Returns the machines that accept tasks and whose owner accepts requests at present. */
   List<CandidateMachine> usable() {
     refresh();
     Map<String, Boolean> ownerTakesRequests = new HashMap<>();
@@ -132,7 +132,7 @@
     stale.addAll(unresolved);
   }
 
-  /** Whether more is free than before, where {@code before} is null for a machine without any. */
+  /** Returns whether free resources grew; {@code before} is null for a new candidate. */
   private static boolean hasGrown(CandidateMachine before, CandidateMachine now) {
     return before == null
         || now.freeCpus > before.freeCpus
@@ -140,7 +140,7 @@
         || now.freeRam > before.freeRam;
   }
 
-  /** Whether the machine may get tasks, and what it holds is known. */
+  /** Returns whether the machine accepts tasks and the sizes of all its tasks are known. */
   private boolean acceptsTasks(ReceivedSnapshot received) {
     MachineSnapshot snapshot = received.snapshot();
     return snapshot.state == MachineState.UP
@@ -195,7 +195,7 @@
         .toList();
   }
 
-  /** Takes what the machine's tasks use, and what starts will use that its owner lacks as yet. */
+  /** Deducts the use of reported tasks and of placements that the owner does not report yet. */
   private void takeUsed(CandidateMachine candidate, MachineSnapshot snapshot) {
     Set<TaskPlacement> placements = placementsByMachine.getOrDefault(snapshot.machine, Set.of());
     Set<Attempt> reported = placements.isEmpty() ? Set.of() : new HashSet<>();
--- a/src/main/java/org/sandford/job/DemandReport.java
+++ b/src/main/java/org/sandford/job/DemandReport.java
@@ -10,12 +10,12 @@
 import org.sandford.peer.wire.DemandClass;
 
 /**
- * What waits within the teams' limits, for the leader, which provisions machines for all
- * controllers. Tasks of which it does not matter to what job they belong are one class, so that the
- * report does not grow with the number of jobs.
+ * Reports the waiting tasks within the teams' limits to the leader, which provisions machines for
+ * all controllers. Tasks whose job makes no difference to provisioning are combined into one class,
+ * so that the report does not grow with the number of jobs.
  */
 final class DemandReport {
-  /** What a team's limit still allows. */
+  /** The resources that a team's limit still allows. */
   private static final class Allowance {
     private double cpus;
     private double gpus;
@@ -25,7 +25,7 @@
       gpus = team.limits.gpusMax() - team.gpusUsed();
     }
 
-    /** How many of the job's waiting tasks are allowed: of a gang all or none. */
+    /** Returns how many of the job's waiting tasks are allowed; for a gang all or none. */
     int tasksOf(Job job) {
       int allowed =
           Math.min(countFitting(cpus, job.spec.cpus()), countFitting(gpus, job.spec.gpus()));
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Tasks of one class and one rank are reported together. */
+  /** The key by which tasks are combined. */
   private record RankedClass(TaskEquivalenceClass equivalenceClass, JobSpec.Rank rank) {}
 
   private final Map<String, Team> teams;
@@ -54,13 +54,17 @@
   private final Map<RankedClass, DemandClass> byRankedClass = new HashMap<>();
   private final List<DemandClass> classes = new ArrayList<>();
 
-  /** A report at this moment of the steady clock, for teams whose quota use was just counted. */
+  /**
+   * Creates a report for teams whose quota use was just counted.
+   *
+   * @param now the time on the monotonic clock in nanoseconds
+   */
   DemandReport(Map<String, Team> teams, long now) {
     this.teams = teams;
     this.now = now;
   }
 
-  /** The classes of the jobs that wait, which come in the order in which they are planned. */
+  /** Returns the demand of the waiting jobs, which are given in planning order. */
   List<DemandClass> of(List<Job> queue) {
     queue.forEach(this::add);
     return classes;
--- a/src/main/java/org/sandford/job/Gang.java
+++ b/src/main/java/org/sandford/job/Gang.java
@@ -1,31 +1,31 @@
 package org.sandford.job;
 
 /**
- * The state of one gang, a job whose tasks all run at the same time or none does. A gang runs in
- * attempts: all tasks of one attempt carry the same number, by which the workers match them, and
- * the next attempt begins only when every task of the former is surely off its machine.
+ * The state of one gang, a job whose tasks run all together or not at all. A gang runs in attempts.
+ * All tasks of an attempt carry the same attempt number, by which the workers match them. The next
+ * attempt begins only when every task of the previous one is confirmed off its machine.
  *
- * <p>It holds state only; {@link Gangs} decides when it changes. Used on the event loop.
+ * <p>Holds state only; {@link Gangs} decides when it changes. Used on the event loop.
  */
 final class Gang {
   /** The states of a gang's attempt. */
   enum Phase {
-    /** No attempt is under way; the gang waits for placements of all of its tasks at once. */
+    /** No attempt is active; the gang waits until all of its tasks can be placed at once. */
     WAITING,
-    /** Starts went out; not all were accepted by the machines' owners. */
+    /** Starts were requested; not all have been accepted by the machines' owners. */
     STARTING,
-    /** All starts were accepted; tasks fetch their image or wait for the others. */
+    /** All starts were accepted; tasks pull their image or wait for the others. */
     RENDEZVOUS,
     /** All tasks run. */
     RUNNING,
     /** All tasks were commanded to save a checkpoint and to stop. */
     STOPPING,
-    /** The attempt is over; what is left of it is stopped without grace, and still placed. */
+    /** The attempt is over; its remaining tasks are stopped without grace, and still placed. */
     TERMINATING,
     /** All tasks are done. */
     DONE;
 
-    /** The next attempt begins only when the former is over; a done gang stays so. */
+    /** Allows a new attempt only after the previous one ended; {@link #DONE} is terminal. */
     private boolean mayBecome(Phase next) {
       return switch (next) {
         case WAITING -> this == STOPPING || this == TERMINATING;
@@ -48,22 +48,22 @@
     return phase;
   }
 
-  /** When the present phase began, on the steady clock in nanoseconds. */
+  /** Returns when the current phase began, in nanoseconds of the monotonic clock. */
   long since() {
     return since;
   }
 
-  /** Attempts in a row that ended before all tasks ran. */
+  /** Returns the number of consecutive attempts that ended before all tasks ran. */
   int failuresInRow() {
     return failuresInRow;
   }
 
-  /** Whether an attempt is under way whose tasks do not all run yet. */
+  /** Returns whether an attempt is active whose tasks do not all run yet. */
   boolean isStarting() {
     return phase == Phase.STARTING || phase == Phase.RENDEZVOUS;
   }
 
-  /** The one place where the phase changes; false when it is the present one. */
+  /** Changes the phase; no other code does. Returns false if the phase is unchanged. */
   boolean transitionTo(Phase next, long now) {
     if (phase == next) {
       return false;
@@ -79,7 +79,7 @@
       }
       case WAITING -> failuresInRow += ran ? 0 : 1;
       default -> {
-        // The other phases carry nothing but their time.
+        // The other phases set only the start time.
       }
     }
     phase = next;
--- a/src/main/java/org/sandford/job/GangReservation.java
+++ b/src/main/java/org/sandford/job/GangReservation.java
@@ -7,14 +7,14 @@
 import org.sandford.constants.JobConstants;
 
 /**
- * The machines at which resources are reserved for one gang until it starts. It is the requester's
- * note: the owners of the machines hold the reservations. Used on the event loop.
+ * The machines on which resources are reserved for one gang until it starts. This is the
+ * requester's record; the machines' owners hold the reservations. Used on the event loop.
  */
 final class GangReservation {
   private final Map<String, String> ownerByMachine = new HashMap<>();
   private long reservedAtMs;
 
-  /** Begins a new reservation, after the former one was released. */
+  /** Begins a new reservation after the previous one was released. */
   void begin(long nowMs) {
     reservedAtMs = nowMs;
   }
@@ -23,18 +23,18 @@
     ownerByMachine.put(machine, owner);
   }
 
-  /** Notes that the reservation at the machine is used. */
+  /** Removes a machine whose reservation the gang uses. */
   void use(String machine) {
     ownerByMachine.remove(machine);
   }
 
-  /** Whether the machines' owners keep the reservation for long enough that the gang can start. */
+  /** Returns whether the owners keep the reservation for long enough to start the gang. */
   boolean isValid(long nowMs) {
     return !ownerByMachine.isEmpty()
         && nowMs - reservedAtMs < JobConstants.RESERVATION_MS - GangConstants.GANG_RESERVE_MS;
   }
 
-  /** Forgets the reservation; {@code release} gets each machine with its owner. */
+  /** Clears the reservation and passes each machine with its owner to {@code release}. */
   void release(BiConsumer<String, String> release) {
     ownerByMachine.forEach(release);
     ownerByMachine.clear();
--- a/src/main/java/org/sandford/job/Gangs.java
+++ b/src/main/java/org/sandford/job/Gangs.java
@@ -11,18 +11,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gang scheduling of this controller's teams. A gang is checked whenever a task of it changed, and
- * periodically; an attempt that cannot be completed is withdrawn: a start that was refused, a task
- * that was lost, tasks of two attempts after a failover, or a start that takes too long.
+ * Runs the gangs of this controller's teams. Checks a gang after each change of its tasks and
+ * periodically. Ends an attempt that cannot complete because a start was refused, a task was lost,
+ * tasks of two attempts were found after a failover, or the start takes too long.
  *
- * <p>Whatever is left of an attempt is stopped, repeatedly until it is gone, before the gang may be
- * planned anew. So a task is never started beside itself, and a gang never consists of tasks of two
- * attempts. Runs on the event loop.
+ * <p>Stops the remaining tasks of such an attempt repeatedly until all are gone, and only then lets
+ * the gang be planned again. So a task never runs twice at the same time, and a gang never consists
+ * of tasks of two attempts. Runs on the event loop.
  */
 final class Gangs {
   private static final Logger log = LoggerFactory.getLogger(Gangs.class);
 
-  /** Doublings after which the backoff is past its maximum. */
+  /** Doublings after which the backoff exceeds its maximum. */
   private static final int MAX_BACKOFF_DOUBLINGS = 10;
 
   private final EventLoop loop;
@@ -44,14 +44,12 @@
     this.commands = commands;
   }
 
-  /** Checks all gangs, for timeouts and for stops to be repeated. */
+  /** Checks all gangs for timeouts and repeats stops. */
   void checkAll() {
     List.copyOf(owned.jobs().values()).forEach(this::check);
   }
 
-  /**
-   * Checks the job if it is a gang; called for every change of a task, of which most are none's.
-   */
+  /** Checks the job if it is a gang. Called for every change of a task of any job. */
   void check(Job job) {
     if (!job.spec.gang()) {
       return;
@@ -63,16 +61,15 @@
     }
   }
 
-  /** The starts of all tasks were requested. */
+  /** Handles a gang of which the starts of all tasks were requested. */
   void started(Job job) {
     transitionTo(job, Phase.STARTING, "all tasks placed");
     check(job, true);
   }
 
   /**
-   * Brings the gang's phase in line with its placements. While {@code recovered} is false, right
-   * after a failover, tasks that were not found yet may be anywhere, and nothing is concluded from
-   * their absence.
+   * Updates the gang's phase from its placements. While {@code recovered} is false, directly after
+   * a failover, missing tasks do not count as lost, since they may not have been reported yet.
    */
   private void check(Job job, boolean recovered) {
     if (job.phase() != Job.Phase.OPEN) {
@@ -88,12 +85,12 @@
       case STOPPING -> checkOrderlyStop(job);
       case TERMINATING -> terminate(job);
       case DONE -> {
-        // Nothing more happens to it.
+        // Terminal phase.
       }
     }
   }
 
-  /** Stops all tasks at once, so that they save one checkpoint together. */
+  /** Stops all tasks at the same time so that they save a common checkpoint. */
   void stopOrderly(Job job, int graceS) {
     if (job.gang.phase() != Phase.RUNNING) {
       return;
@@ -102,7 +99,7 @@
     job.placements().forEach(task -> commands.stop(task, graceS));
   }
 
-  /** Adopts an attempt of a former owner, of which tasks were found. */
+  /** Adopts an attempt of a former owner if tasks of it were found. */
   private void checkRecovered(Job job, boolean recovered) {
     if (job.placementCount() == 0 || !recovered) {
       return;
@@ -153,8 +150,8 @@
   }
 
   /**
-   * Every task is surely gone, so the next attempt may begin, after a backoff if the last one never
-   * ran.
+   * Lets the next attempt begin now that all tasks are confirmed gone, after a backoff if the last
+   * one never ran.
    */
   private void terminated(Job job) {
     transitionTo(job, Phase.WAITING, "no task is left");
@@ -178,7 +175,7 @@
     }
   }
 
-  /** Whether all tasks have a placement, under one attempt. */
+  /** Returns whether all tasks have a placement of the same attempt. */
   private static boolean complete(Job job) {
     List<TaskPlacement> placements = job.placements();
     return placements.size() == job.spec.tasks()
--- a/src/main/java/org/sandford/job/JobScheduler.java
+++ b/src/main/java/org/sandford/job/JobScheduler.java
@@ -26,11 +26,12 @@
 import org.sandford.store.RecordWriter;
 
 /**
- * The jobs of the teams that this controller owns. It alone decides attempts, quota and the state
- * of these jobs; machines are commanded by their owners, from which it requests starts and stops.
+ * Schedules the jobs of the teams that this controller owns. For these jobs only this controller
+ * assigns attempts, checks quota and changes the state. Machines are commanded by their owners,
+ * from which it requests starts and stops.
  *
- * <p>A facade: it assembles the classes of this package and passes calls and events on to them. All
- * of it runs on the event loop.
+ * <p>Assembles the classes of this package and delegates calls and events to them. All of it runs
+ * on the event loop.
  */
 public final class JobScheduler {
   private final EventLoop loop;
@@ -60,10 +61,9 @@
   private final ServiceConsolidation consolidation;
 
   /**
-   * Assembles the package: it takes what any of the classes needs, and has a step for each, in the
-   * order in which they depend on each other.
+   * Creates the classes of this package in the order of their dependencies.
    *
-   * @param instanceTypes the instance type of a name, or null while it is not known
+   * @param instanceTypes returns the instance type of a name, or null while it is not known
    */
   public JobScheduler(
       EventLoop loop,
@@ -129,7 +129,7 @@
     consolidation = new ServiceConsolidation(loop, machineSnapshots, owned, candidates, commands);
   }
 
-  /** What follows from jobs that were taken up. */
+  /** Plans after changes of the open jobs, and adopts the running tasks of a job that was found. */
   private final class TakenJobs implements Submissions.Changes {
     @Override
     public void jobsChanged() {
@@ -143,7 +143,7 @@
     }
   }
 
-  /** What follows from records that are stored. */
+  /** Handles writes of job records that are confirmed by the store. */
   private final class StoredJobs implements JobRecords.Stored {
     @Override
     public void ended(Job job, TerminalState state) {
@@ -164,26 +164,26 @@
     loop.every(GangConstants.GANG_CHECK_MS, gangs::checkAll);
   }
 
-  /** How many jobs are known here, those included that ended and still hold resources. */
+  /** Returns the number of open jobs, including jobs that ended and still hold resources. */
   public int openJobs() {
     return owned.jobs().size();
   }
 
-  /** How many tasks of these jobs have no placement. */
+  /** Returns the number of tasks of these jobs that have no placement. */
   public int waitingTasks() {
     return owned.jobs().values().stream().mapToInt(job -> job.tasks.waitingCount()).sum();
   }
 
-  /** How many teams this controller owns. */
+  /** Returns the number of teams that this controller owns. */
   public int teamCount() {
     return owned.teams().size();
   }
 
-  /** The assignment map of teams or of machines changed. */
+  /** Handles a change of the assignment map of teams or machines. */
   public void mapChanged() {
     List<Team> acquired = ownership.applyMap();
     if (!acquired.isEmpty()) {
-      // What the machines hold of these teams did not concern this controller until now.
+      // Tasks of these teams were ignored in earlier snapshots.
       machineSnapshots.all().forEach(received -> untracked.update(received.snapshot()));
       openJobs.load(acquired, this::openJobsLoaded);
     }
@@ -207,27 +207,27 @@
   }
 
   /**
-   * The leader wants another controller to own the team; false when it is not served here under
-   * this generation.
+   * Hands the team over at the leader's request. Returns false when the team is not served here
+   * under this generation.
    */
   public boolean handOverTeam(String name, long generation) {
     return ownership.handOver(name, generation);
   }
 
-  /** The link to another controller came up, for the first time or anew. */
+  /** Handles a new connection to another controller, the first or a later one. */
   public void linkUp(String peer) {
     commands.linkUp(peer);
     ownership.linkUp(peer);
   }
 
-  /** Another controller replied to the claim of a team. */
+  /** Handles another controller's reply to the claim of a team. */
   public void claimReplied(String from, ClaimReply reply) {
     if (ownership.claimReplied(from, reply)) {
       recovery.checkAll();
     }
   }
 
-  /** Machine snapshots came, which {@link MachineSnapshots} has taken in already. */
+  /** Handles machine snapshots, which {@link MachineSnapshots} has stored already. */
   public void snapshots(String from, SnapshotUpdate snapshots) {
     for (MachineSnapshot snapshot : snapshots.machines) {
       candidates.invalidate(snapshot.machine);
@@ -247,51 +247,53 @@
     }
   }
 
-  /** Whether this very snapshot is the machine's latest; its contents may be large to compare. */
+  /**
+   * Returns whether this instance is the stored snapshot. A comparison by value would be expensive.
+   */
   @SuppressWarnings("ReferenceEquality")
   private boolean wasTakenIn(MachineSnapshot snapshot) {
     MachineSnapshots.ReceivedSnapshot received = machineSnapshots.get(snapshot.machine);
     return received != null && received.snapshot() == snapshot;
   }
 
-  /** A machine's owner replied to the request for a start. */
+  /** Handles the reply of a machine's owner to a requested start. */
   public void startReplied(StartReply reply) {
     pendingStarts.handleReply(reply);
   }
 
-  /** A user's submission for a team of this controller. */
+  /** Handles a user's submission of a job for a team of this controller. */
   public void submit(JobSpec spec, Consumer<ApiResponse> answer) {
     submissions.submit(spec, answer);
   }
 
-  /** Stores a job whose team's owner cannot take it just now. */
+  /** Stores a job whose team's owner cannot accept it at present. */
   public void storeOnBehalfOfOwner(JobSpec spec, Consumer<ApiResponse> answer) {
     submissions.storeOnBehalfOfOwner(spec, answer);
   }
 
-  /** Another controller stored a job for this team. */
+  /** Adopts a job that another controller stored for this team. */
   public void adoptNewJob(String id, String team) {
     submissions.adoptNewJob(id, team);
   }
 
-  /** What may be said of jobs, of this controller's teams and others. */
+  /** Returns the class that answers queries about the jobs of all teams. */
   public JobAnswers answers() {
     return answers;
   }
 
-  /** Cancels a job of a team of this controller; false when it is not known here. */
+  /** Cancels a job of a team of this controller. Returns false when the job is not known here. */
   public boolean abort(String id, Consumer<ApiResponse> answer) {
     return cancellation.abort(id, answer);
   }
 
-  /** Somebody stored this job's terminal state, possibly this controller. */
+  /** Handles a job's terminal state, which this or another controller stored. */
   public void jobEnded(String id, JsonNode record) {
     TerminalState state = JobRecordCodec.terminalState(record);
     if (state == TerminalState.CANCELLED) {
       cancelled.add(id, JobRecordCodec.terminalTeam(record), JobRecordCodec.terminalTasks(record));
     }
     Job job = owned.job(id);
-    // A cancelled job stays known until its tasks are gone, so its end may come more than once.
+    // A cancelled job stays known until its tasks are gone, so its end may be reported repeatedly.
     if (job != null && !job.writing && !job.phase().over()) {
       termination.ended(job, state);
     }
@@ -310,7 +312,7 @@
     return true;
   }
 
-  /** What waits, by task equivalence classes, within the teams' limits. */
+  /** Returns the waiting tasks within the teams' limits, by task equivalence class. */
   public List<DemandClass> demand() {
     quota.recount();
     return new DemandReport(owned.teams(), loop.nanos()).of(queue.waiting());
--- a/src/main/java/org/sandford/job/PendingStarts.java
+++ b/src/main/java/org/sandford/job/PendingStarts.java
@@ -8,8 +8,8 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * What becomes of starts that were requested from machines' owners: an answer, or none before the
- * link was replaced. Runs on the event loop.
+ * Resolves starts that were requested from machines' owners, by the owner's answer or by its
+ * absence once the connection was replaced. Runs on the event loop.
  */
 final class PendingStarts {
   private final EventLoop loop;
@@ -34,7 +34,7 @@
     this.timer = timer;
   }
 
-  /** The machine's owner took the start or refused it. */
+  /** Handles the answer of a machine's owner, which accepted or refused the start. */
   void handleReply(StartReply reply) {
     Job job = owned.job(reply.job);
     TaskPlacement placement = job == null ? null : job.placementOf(reply.task);
@@ -57,8 +57,8 @@
   }
 
   /**
-   * The owner sent snapshots of all its machines: starts that it was asked for over an earlier link
-   * and does not report were never taken.
+   * Releases unanswered starts after the owner sent snapshots of all its machines. A start that was
+   * requested over an earlier connection and is not in the snapshots was never accepted.
    */
   void releaseUnanswered(String owner, SnapshotUpdate snapshots) {
     Set<Attempt> reported = new HashSet<>();
--- a/src/main/java/org/sandford/job/PlacementLedger.java
+++ b/src/main/java/org/sandford/job/PlacementLedger.java
@@ -6,17 +6,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Records and releases the placements of tasks, in the three places that count them and must agree:
- * the job, the machine's free resources and the team's quota. Runs on the event loop.
+ * Records and releases task placements consistently in the three places that count them: the job,
+ * the machine's free resources and the team's quota. Runs on the event loop.
  */
 final class PlacementLedger {
   private static final Logger log = LoggerFactory.getLogger(PlacementLedger.class);
 
   /** Why a placement is lost. */
   enum LossCause {
-    /** The machine's owner reports that the task is not there. */
+    /** The snapshot of the machine's owner lacks the task. */
     NOT_ON_MACHINE,
-    /** The machine left the assignment map, and all that was on it is gone. */
+    /** The machine left the assignment map, and its tasks are gone. */
     MACHINE_REMOVED
   }
 
@@ -39,12 +39,12 @@
     this.timer = timer;
   }
 
-  /** The attempts of this controller's jobs that are, or may be, on the machine. */
+  /** Returns the attempts of this controller's jobs that are or may be on the machine. */
   List<TaskPlacement> placementsOn(String machine) {
     return candidates.placementsOn(machine);
   }
 
-  /** The task is, or may soon be, on its machine. */
+  /** Records a placement whose task is, or may soon be, on the machine. */
   void record(TaskPlacement placement) {
     Job job = placement.job;
     job.recordPlacement(placement);
@@ -55,7 +55,9 @@
     }
   }
 
-  /** The attempt is surely off its machine; unless its task is done, it waits again. */
+  /**
+   * Releases an attempt that is confirmed off its machine. Its task waits again unless it is done.
+   */
   void release(TaskPlacement placement) {
     Job job = placement.job;
     Team team = owned.team(job.spec.team());
@@ -67,7 +69,7 @@
     gangs.check(job);
   }
 
-  /** Releases an attempt that ended without the worker's word. */
+  /** Releases an attempt that ended without a report of its worker. */
   void releaseLost(TaskPlacement placement, LossCause cause) {
     log.info(
         "task lost job={} task={} machine={} attempt={} cause={}",
@@ -81,8 +83,9 @@
   }
 
   /**
-   * Stops counting an attempt of which a later one of its task was found. The caller records that
-   * one at once: the task does not wait in between, so that its gang does not seem to lack it.
+   * Stops counting an attempt that a later one of its task replaces. The caller records the later
+   * one immediately, so that the task does not wait in between and its gang does not count it as
+   * lost.
    */
   void supersede(TaskPlacement older) {
     candidates.removePlacement(older);
--- a/src/main/java/org/sandford/job/PlanningRound.java
+++ b/src/main/java/org/sandford/job/PlanningRound.java
@@ -11,12 +11,12 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * Plans the waiting jobs, one after the other, against the free resources that the snapshots and
- * the earlier plans of the round leave. A job with a plan is started at once; for one without,
- * tasks are preempted or resources reserved. Runs on the event loop.
+ * Plans the waiting jobs one by one against the free resources that the snapshots and the earlier
+ * plans of the round leave. Starts a job with a plan immediately. For a job without a plan,
+ * requests preemption or reserves resources. Runs on the event loop.
  */
 final class PlanningRound {
-  /** What planning yields for a job that found no place: a plan without tasks. */
+  /** The result of planning for a job without a feasible placement. */
   private static final Planner.Plan NO_PLAN = new Planner.Plan(List.of(), 0, 0);
 
   private final EventLoop loop;
@@ -43,7 +43,7 @@
     this.starter = starter;
   }
 
-  /** Plans the jobs in their order, each within its team's quota. */
+  /** Plans the jobs in the given order, each within its team's quota. */
   void plan(List<Job> waiting) {
     quota.recount();
     List<CandidateMachine> usable = candidates.usable();
@@ -86,10 +86,10 @@
   }
 
   /**
-   * Whether the job starts only when all of its tasks have a place. What the team's limit does not
-   * allow now is planned in parts: a whole job that waits for the limit is starved by the parts of
-   * larger ones, which take each place as it falls free. Nor does a job wait for ever for resources
-   * that a small cluster never has free at once.
+   * Returns whether the job starts only once all its tasks can be placed. A job of which the team's
+   * limit allows only a part is planned in parts: if it waited for the full quota, larger jobs that
+   * start in parts would starve it. So is a job that waited for longer than {@link
+   * JobConstants#PARTIAL_START_AFTER_S}: a small cluster may never have all resources free at once.
    */
   private static boolean startsWhole(Job job, int count, double waitedS) {
     return !job.hasStarted()
@@ -106,8 +106,8 @@
   }
 
   /**
-   * A plan for the job's tasks, or {@link #NO_PLAN}; jobs of a class that found no place are not
-   * tried again.
+   * Returns a plan for the job's tasks, or {@link #NO_PLAN}. Skips jobs of a class that could not
+   * be placed.
    */
   private Planner.Plan findPlan(Job job, int count, boolean whole, List<CandidateMachine> usable) {
     int required = whole ? count : 1;
@@ -121,7 +121,7 @@
       return plan;
     }
     if (job.retry.forgetAvoidedMachines()) {
-      // Better a machine on which it failed than none at all.
+      // No other machine fits, so the machines on which it failed are allowed again.
       return findPlan(job, count, whole, usable);
     }
     if (job.placementCount() == 0) {
--- a/src/main/java/org/sandford/job/PlanningTimer.java
+++ b/src/main/java/org/sandford/job/PlanningTimer.java
@@ -5,9 +5,9 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * Decides when the next planning round begins. Requests that come together are served by one round,
- * and rounds take no more than {@link JobConstants#PLAN_TIME_SHARE} of the event loop's time, on
- * which it runs.
+ * Decides when the next planning round begins. Requests that come close together are served by one
+ * round. Rounds take no more than {@link JobConstants#PLAN_TIME_SHARE} of the time of the event
+ * loop, on which they run.
  */
 final class PlanningTimer {
   private static final double NANOS_PER_MS = 1e6;
@@ -19,14 +19,14 @@
   private long intervalMs = JobConstants.PLAN_INTERVAL_MS;
 
   /**
-   * @param round plans once; false when it may not, so that its duration says nothing
+   * @param round plans once; returns false if it could not, and its duration is ignored
    */
   PlanningTimer(EventLoop loop, BooleanSupplier round) {
     this.loop = loop;
     this.round = round;
   }
 
-  /** Something changed that may let a task start: a round follows, unless one is due already. */
+  /** Requests a round after a change that may let a task start, unless one is requested already. */
   void requestRound() {
     if (requested) {
       return;
@@ -43,7 +43,7 @@
     if (!round.getAsBoolean()) {
       return;
     }
-    // Under overload the rounds grow long: the rest of the time belongs to heartbeats and users.
+    // Long rounds under overload must leave the event loop time for heartbeats and user requests.
     double spentMs = (loop.nanos() - beganAtNanos) / NANOS_PER_MS;
     intervalMs =
         Math.max(JobConstants.PLAN_INTERVAL_MS, (long) (spentMs / JobConstants.PLAN_TIME_SHARE));
--- a/src/main/java/org/sandford/job/PreemptibleTasks.java
+++ b/src/main/java/org/sandford/job/PreemptibleTasks.java
@@ -21,9 +21,9 @@
 import org.sandford.settings.Settings;
 
 /**
- * What runs on all machines at one moment, and which of it may be preempted for a job: tasks of
- * lower rank, and, where the job lies within its team's guarantee, what other teams run beyond
- * theirs. Services are left alone in the second case. Used on the event loop.
+ * The tasks on all machines at one moment, and which of them may be preempted for a job: tasks of
+ * lower rank, and, if the job lies within its team's guarantee, tasks of teams that exceed theirs.
+ * Production tasks are exempt from the second rule. Used on the event loop.
  */
 final class PreemptibleTasks {
   private final List<Victim> running = new ArrayList<>();
@@ -33,7 +33,7 @@
 
   private final Map<String, List<Victim>> gangs = new HashMap<>();
 
-  /** Scans the snapshots of all machines, which costs a step for each task. */
+  /** Scans the snapshots of all machines, in time linear in the number of tasks. */
   PreemptibleTasks(MachineSnapshots machineSnapshots, Settings.Facts facts, long now) {
     for (MachineSnapshots.ReceivedSnapshot received : machineSnapshots.all()) {
       if (machineSnapshots.isFromOwner(received) && received.snapshot().state == MachineState.UP) {
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Only tasks of a gang share their attempt, so the gangs of other controllers show in snapshots
-   * as well. Few tasks are in gangs; the others cost no more than a place in a sorted array.
+   * Groups the tasks of gangs. Only tasks of one gang share an attempt number, so gangs of other
+   * controllers are found as well. Few tasks are in gangs; the others cost one sorted array entry.
    */
   private void findGangs() {
     long[] attempts = running.stream().mapToLong(Victim::attempt).sorted().toArray();
@@ -85,7 +85,7 @@
     if (!task.described || task.state == TaskState.EXITED) {
       return;
     }
-    // Snapshots come only when something changes, so tasks have aged since.
+    // Snapshots are sent only on changes, so the time since the snapshot is added to the age.
     double ageS = task.ageS + (now - received.at()) / TimeConstants.NANOS_PER_S;
     running.add(
         new Victim(
@@ -103,8 +103,8 @@
   }
 
   /**
-   * What is lost with a gang. It is told to save, so its age counts only while it has just come up:
-   * stopped then, its start was in vain.
+   * Returns the CPU seconds lost with the gang. Its age counts only while it has just started,
+   * since its start would be wasted then; later it saves a checkpoint before it stops.
    */
   private static double gangLoss(List<Victim> gang) {
     double cpus = gang.stream().mapToDouble(Victim::cpus).sum();
@@ -113,12 +113,12 @@
     return cpus * GangConstants.GANG_SETTLED_S * (young ? 2 : 1);
   }
 
-  /** The tasks that stop when this one does. */
+  /** Returns the tasks that stop together with this one. */
   private List<Victim> preemptedTogether(Victim victim) {
     return gangs.getOrDefault(victim.gang(), List.of(victim));
   }
 
-  /** The tasks that may be preempted for the job, without those that are preempted already. */
+  /** Returns the tasks that may be preempted for the job and for which no preemption is pending. */
   List<Victim> victims(Team team, Job job, Predicate<Attempt> preempted) {
     PreemptingJob preemptingJob = new PreemptingJob(team, job);
     return running.stream()
@@ -127,7 +127,7 @@
         .toList();
   }
 
-  /** The job to preempt for, and how much of what teams borrow it may still take. */
+  /** The job to preempt for, and the CPUs beyond each team's guarantee that it may still claim. */
   private final class PreemptingJob {
     private final Team team;
     private final int rank;
@@ -151,9 +151,10 @@
     }
 
     /**
-     * A job beyond its own team's guarantee that was preempted itself leaves alone what others run
-     * within theirs: it may have been preempted for them, and the two would preempt each other for
-     * ever. Services are never preempted in turn.
+     * Returns whether the job may preempt a task of lower rank. If it exceeds its team's guarantee
+     * and was preempted itself, it spares tasks within other teams' guarantees: it may have been
+     * preempted for them, and the two would preempt each other forever. Production jobs are never
+     * preempted back.
      */
     private boolean mayPreemptLowerRank(Victim victim) {
       boolean production = rank == JobSpec.Rank.PRODUCTION.number();
@@ -175,7 +176,7 @@
     }
   }
 
-  /** All that has to be stopped for these evictions, by machine: a gang always as a whole. */
+  /** Returns the tasks to stop for these evictions by machine; a gang always as a whole. */
   Map<String, List<Victim>> victimsByMachine(List<Eviction> evictions) {
     Map<String, List<Victim>> byMachine = new TreeMap<>();
     Set<String> received = new HashSet<>();
@@ -194,7 +195,7 @@
     return new Attempt(victim.job(), victim.task(), victim.attempt());
   }
 
-  /** Whether the job fits its team's guarantee together with the team's earlier unfinished jobs. */
+  /** Returns whether the team's guarantee covers the job and the team's earlier unfinished jobs. */
   private static boolean withinGuarantee(Team team, Job job) {
     double cpus = 0;
     double gpus = 0;
--- a/src/main/java/org/sandford/job/Preemptor.java
+++ b/src/main/java/org/sandford/job/Preemptor.java
@@ -17,9 +17,9 @@
 import org.sandford.settings.Settings;
 
 /**
- * Preempts for jobs that found no place: it asks the machines' owners to stop others' tasks, where
- * the users allow it, and to reserve free resources for a job until it has enough. What is freed
- * shows in later snapshots and is planned then. Runs on the event loop.
+ * Frees resources for jobs that could not be placed. Asks the machines' owners to stop tasks of
+ * other jobs, where the rules allow it, and to reserve free resources for a job until it has
+ * enough. Freed resources appear in later snapshots and are planned then. Runs on the event loop.
  */
 final class Preemptor {
   private final EventLoop loop;
@@ -28,10 +28,10 @@
   private final PeerLinks links;
   private final Planner planner;
 
-  /** Attempts whose preemption was requested lately, and when, in milliseconds. */
+  /** The time of each recently requested preemption by attempt, in milliseconds. */
   private final Map<Attempt, Long> preemptedAtMs = new HashMap<>();
 
-  /** What runs on all machines; null until a job of the round needs it. */
+  /** The tasks on all machines; null until a job of the round needs them. */
   private PreemptibleTasks tasks;
 
   private boolean mayPreempt;
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Begins a planning round: all machines are scanned once in it at the most, and only for a job
-   * that needs it.
+   * Begins a planning round. All machines are scanned at most once per round, and only if a job
+   * needs the scan.
    */
   void beginRound() {
     roundAtMs = loop.millis();
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Preempts others' tasks for the job if that completes its plan, or, unless it must start whole,
-   * a part of it.
+   * Preempts tasks of other jobs if that completes the job's plan, or, unless all tasks must start
+   * together, a part of it.
    */
   void preempt(Team team, Job job, int count, List<CandidateMachine> usable, boolean whole) {
     if (!mayPreempt
@@ -110,8 +110,8 @@
           eviction.tasks(),
           victimsThere == null ? List.of() : victimsThere);
     }
-    // What is left are tasks of gangs that lose one elsewhere: only a gang that is stopped as a
-    // whole can save a checkpoint.
+    // The remaining victims belong to gangs that lose a task on another machine. The whole gang is
+    // stopped, since it can save a checkpoint only as a whole.
     victimsByMachine.forEach(
         (machine, victimsThere) -> {
           MachineSnapshots.ReceivedSnapshot seen = machineSnapshots.get(machine);
@@ -127,9 +127,9 @@
   }
 
   /**
-   * Reserves the free resources that there are for a job that waited long for enough of them at
-   * once: small jobs take each place as it falls free, and a large one would never begin. One job
-   * at a time, the first of the queue, whose order is the same for all controllers.
+   * Reserves free resources for a job that has long waited for enough of them at once. Otherwise
+   * small jobs would take all that becomes free, and a large one would never start. Reserves for
+   * one job at a time, the first of the queue, whose order is the same on all controllers.
    */
   void reserveFreeResources(Team team, Job job, int count, List<CandidateMachine> usable) {
     if (roundAtMs < nextReservationAtMs) {
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Reserves the slots of the gang's plan at the machines' owners; it starts once all controllers
-   * know of the reservations.
+   * Reserves the slots of the gang's plan at the machines' owners. The gang starts once all
+   * controllers have seen the reservations.
    */
   void reserve(Team team, Job gang, Planner.Plan plan) {
     releaseReservation(team, gang);
@@ -161,25 +161,25 @@
     request(team, job, slot.candidate().owner, slot.candidate().machine, slot.tasks(), List.of());
   }
 
-  /** Whether the gang's reservation holds for long enough to start it. */
+  /** Returns whether the gang's reservation stays valid for long enough to start the gang. */
   boolean hasReservation(Job gang) {
     return gang.reservation.isValid(loop.millis());
   }
 
-  /** The gang starts with this plan: what is reserved for it elsewhere is released. */
+  /** Releases the gang's reservations on machines that the plan does not use. */
   void releaseUnused(Team team, Job gang, Planner.Plan plan) {
     plan.slots().forEach(slot -> gang.reservation.use(slot.candidate().machine));
     releaseReservation(team, gang);
   }
 
-  /** Releases at once what is reserved for a gang that cannot start with it. */
+  /** Releases all reservations of the gang immediately. */
   void releaseReservation(Team team, Job gang) {
     gang.reservation.release((machine, owner) -> request(team, gang, owner, machine, 0, List.of()));
   }
 
   /**
-   * Asks the machine's owner to preempt the victims, and to reserve resources for so many tasks of
-   * the job; none releases its reservation.
+   * Asks the machine's owner to preempt the victims and to reserve resources for {@code count}
+   * tasks of the job. A count of 0 releases the job's reservation.
    */
   private void request(
       Team team,
--- a/src/main/java/org/sandford/job/QuotaUse.java
+++ b/src/main/java/org/sandford/job/QuotaUse.java
@@ -1,8 +1,8 @@
 package org.sandford.job;
 
 /**
- * Counts what each owned team uses of its quota: its jobs' placements, tasks that belong to no
- * known attempt, and, until the team has recovered, what cancelled jobs may still hold unseen. Runs
+ * Counts the quota use of each owned team: the placements of its jobs, untracked tasks, and, until
+ * the team has recovered, an upper bound for tasks of cancelled jobs that were not reported. Runs
  * on the event loop.
  */
 final class QuotaUse {
@@ -16,7 +16,7 @@
     this.cancelled = cancelled;
   }
 
-  /** Counts all teams' use anew; placements that follow adjust it. */
+  /** Recounts the use of all teams. Later placements adjust the counts. */
   void recount() {
     owned.teams().values().forEach(Team::recountUse);
     untracked.addTo(owned.teams());
--- a/src/main/java/org/sandford/job/Resources.java
+++ b/src/main/java/org/sandford/job/Resources.java
@@ -3,11 +3,11 @@
 import org.sandford.cloud.InstanceType;
 import org.sandford.model.JobSpec;
 
-/** CPUs and accelerators that tasks use, or may use; memory has no quota. */
+/** CPUs and accelerators that tasks use or may use. Memory has no quota. */
 record Resources(double cpus, double gpus) {
   static final Resources ZERO = new Resources(0, 0);
 
-  /** For what nothing bounds. */
+  /** Stands for use without a known bound. */
   static final Resources UNBOUNDED =
       new Resources(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
 
@@ -15,7 +15,7 @@
     return new Resources(spec.cpus(), spec.gpus());
   }
 
-  /** All that a machine of this type can hold, which is {@code null} if the type is not known. */
+  /** Returns the capacity of the type; {@link #UNBOUNDED} if it is null, which means unknown. */
   static Resources ofMachine(InstanceType instanceType) {
     return instanceType == null
         ? UNBOUNDED
@@ -30,12 +30,12 @@
     return new Resources(cpus * number, gpus * number);
   }
 
-  /** The smaller of both, each by itself. */
+  /** Returns the smaller value of each resource. */
   Resources atMost(Resources bound) {
     return new Resources(Math.min(cpus, bound.cpus), Math.min(gpus, bound.gpus));
   }
 
-  /** Without {@code less}, but never below zero. */
+  /** Returns the difference, but never less than zero of each resource. */
   Resources minus(Resources less) {
     return new Resources(Math.max(0, cpus - less.cpus), Math.max(0, gpus - less.gpus));
   }
--- a/src/main/java/org/sandford/job/SchedulingQueue.java
+++ b/src/main/java/org/sandford/job/SchedulingQueue.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.sandford.runtime.EventLoop;
 
-/** The jobs whose tasks wait, in the order in which they are planned. Runs on the event loop. */
+/** The jobs with waiting tasks, in planning order. Runs on the event loop. */
 final class SchedulingQueue {
   private final EventLoop loop;
   private final OwnedJobs owned;
@@ -20,7 +20,7 @@
     this.owned = owned;
   }
 
-  /** The jobs that may be planned now, first to last. */
+  /** Returns the jobs that may be planned now, in planning order. */
   List<Job> waiting() {
     List<Job> waiting = new ArrayList<>();
     long nowMs = loop.millis();
@@ -33,15 +33,15 @@
     return waiting;
   }
 
-  /** Tasks of an inherited job may run unseen until its team has recovered. */
+  /** Returns whether the team is ready; before that, tasks of inherited jobs may run unknown. */
   private boolean mayBePlanned(Job job) {
     Team team = owned.team(job.spec.team());
     return team != null && team.isServed() && (team.phase() == Team.Phase.READY || !job.inherited);
   }
 
   /**
-   * Of opportunistic jobs those of which nothing runs go first, so that each of them begins: by
-   * arrival alone, a job of one task waits behind an array of thousands.
+   * Returns whether the job is opportunistic and has placements. Such jobs are planned after those
+   * without any: by arrival alone, a job of one task would wait behind an array of thousands.
    */
   private boolean yieldsToUnstarted(Job job) {
     return job.placementCount() > 0 && owned.team(job.spec.team()).isOpportunistic(job.spec);
--- a/src/main/java/org/sandford/job/ServiceConsolidation.java
+++ b/src/main/java/org/sandford/job/ServiceConsolidation.java
@@ -15,7 +15,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Moves replicas of services off draining machines, while nothing waits to be planned. Runs on the
+ * Moves replicas of services off draining machines while no job waits to be planned. Runs on the
  * event loop.
  */
 final class ServiceConsolidation {
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Stops one replica, if a machine with its image has free resources for it. One at a time: its
-   * service is short of it until it runs again.
+   * Stops one replica if a machine with its image has free resources for it. Moves only one at a
+   * time, since the service lacks the replica until it runs again.
    */
   void moveReplica() {
     long nowMs = loop.millis();
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Whether the job is a service of which every replica runs. */
+  /** Returns whether the job is a service of which every replica runs. */
   private static boolean runsWhole(Job job) {
     return job.spec.service()
         && job.phase() == Job.Phase.OPEN
--- a/src/main/java/org/sandford/job/TaskCommands.java
+++ b/src/main/java/org/sandford/job/TaskCommands.java
@@ -12,17 +12,17 @@
 
 /**
  * Sends the commands for tasks to the controllers that own their machines. Every command carries
- * the team's generation, by which a machine's owner refuses those of a former owner of the team. A
- * command is sent once and may be lost; whoever needs its effect repeats it.
+ * the team's generation, by which a machine's owner refuses commands of a former owner of the team.
+ * A command is sent once and may be lost; callers that need its effect repeat it.
  *
- * <p>Owns the epochs of the links to the other controllers. Runs on the event loop.
+ * <p>Counts the connections to each of the other controllers. Runs on the event loop.
  */
 final class TaskCommands {
   private final Cluster cluster;
   private final PeerLinks links;
   private final OwnedJobs owned;
 
-  /** How often the link to each controller came up. */
+  /** The number of connections so far to each controller. */
   private final Map<String, Integer> linkEpochs = new HashMap<>();
 
   TaskCommands(Cluster cluster, PeerLinks links, OwnedJobs owned) {
@@ -35,16 +35,16 @@
     linkEpochs.merge(peer, 1, Integer::sum);
   }
 
-  /** The epoch of the present link to this controller, or of the last one while there is none. */
+  /** Returns the epoch of the current connection to this controller, or else of the last one. */
   int linkEpoch(String peer) {
     return linkEpochs.getOrDefault(peer, 0);
   }
 
   /**
-   * Whether a start that got no answer can no longer be carried out. A new link ends the old one at
-   * the far end, so a start that was not taken by then never will be. That holds for the same
-   * incarnation of the owner only: a former one may have taken it and ended before its answer went
-   * out. Then the machine's next owner reports.
+   * Returns whether an unanswered start can no longer be executed. A new connection closes the old
+   * one at the remote end, so a start that was not accepted by then never will be. This holds only
+   * for the same incarnation of the owner: a former incarnation may have accepted the start and
+   * ended before it answered. In that case the machine's next owner reports the task.
    */
   boolean startIsObsolete(TaskPlacement placement, String owner) {
     return placement.linkEpoch < linkEpoch(owner)
@@ -58,7 +58,7 @@
         && assignment.owner().equals(incarnationId);
   }
 
-  /** Requests the start of the placement's task; false when there is no link to the owner. */
+  /** Requests the start of the task. Returns false if the owner is not connected. */
   boolean start(Team team, TaskPlacement placement) {
     Job job = placement.job;
     JobSpec spec = job.spec;
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Requests the stop of a task, which gets {@code graceS} seconds to save a checkpoint. A start
-   * that got no answer stays {@link TaskPhase#REQUESTED}: it may not have been taken.
+   * Requests the stop of a task, which gets {@code graceS} seconds to save a checkpoint. An
+   * unanswered start stays {@link TaskPhase#REQUESTED}, since the owner may not have accepted it.
    */
   void stop(TaskPlacement placement, int graceS) {
     stop(placement.job, placement.machine, placement.task, placement.attempt, graceS);
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Requests the stop, without grace, of an attempt that is not the task's placement. */
+  /** Requests the stop without grace of an attempt that is not its task's placement. */
   void stopAttempt(Job job, String machine, int task, long attempt) {
     stop(job, machine, task, attempt, 0);
   }
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Allows the worker to forget the result of an attempt that ended. */
+  /** Allows the worker to discard the result of an ended attempt. */
   void acknowledgeExit(Job job, String machine, int task, long attempt) {
     MachineAssignment assignment = cluster.machines().of().get(machine);
     Team team = owned.team(job.spec.team());
--- a/src/main/java/org/sandford/job/TaskEquivalenceClass.java
+++ b/src/main/java/org/sandford/job/TaskEquivalenceClass.java
@@ -4,8 +4,8 @@
 import org.sandford.model.JobSpec;
 
 /**
- * What tasks ask of their machines. Tasks of one class, of whatever jobs, find places, or none,
- * alike.
+ * The requirements of tasks on their machines. Tasks of one class can be placed on the same
+ * machines, whichever jobs they belong to.
  */
 record TaskEquivalenceClass(
     double cpus,
--- a/src/main/java/org/sandford/job/TaskExits.java
+++ b/src/main/java/org/sandford/job/TaskExits.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What follows from attempts that ended. The exit of a finished task is acknowledged once its job's
- * record says so; every other exit at once, and its task is retried. Runs on the event loop.
+ * Handles ended attempts. Acknowledges the exit of a finished task once its job's record contains
+ * the task, and every other exit immediately, followed by a retry. Runs on the event loop.
  */
 final class TaskExits {
   private static final Logger log = LoggerFactory.getLogger(TaskExits.class);
@@ -34,7 +34,7 @@
     this.timer = timer;
   }
 
-  /** The task's placement ended. */
+  /** Handles the exit of the attempt that is its task's placement. */
   void placementExited(TaskPlacement placement, MachineSnapshot snapshot, TaskSnapshot task) {
     Job job = placement.job;
     if (isCompletion(job, task)) {
@@ -53,7 +53,7 @@
     timer.requestRound();
   }
 
-  /** An attempt ended that is not its task's placement. */
+  /** Handles the exit of an attempt that is not its task's placement. */
   void unplacedAttemptExited(Job job, MachineSnapshot snapshot, TaskSnapshot task) {
     if (!isCompletion(job, task)) {
       commands.acknowledgeExit(job, snapshot.machine, task.task, task.attempt);
@@ -61,7 +61,7 @@
     }
     if (!job.tasks.isDone(task.task)) {
       job.complete(task.task);
-      // Another attempt may still stand elsewhere; it is stopped once found.
+      // Another attempt may still run elsewhere; an unknown one is stopped once it is reported.
       TaskPlacement other = job.placementOf(task.task);
       if (other != null) {
         commands.stop(other, 0);
--- a/src/main/java/org/sandford/job/TaskPhase.java
+++ b/src/main/java/org/sandford/job/TaskPhase.java
@@ -1,16 +1,16 @@
 package org.sandford.job;
 
 /**
- * The states of a task that has, or may have, a placement, in the order in which it goes through
- * them; it may leave some out. A task that waits has none.
+ * The states of a task that has, or may have, a placement, in their order. A task may skip states,
+ * and a waiting task has none.
  */
 enum TaskPhase {
-  /** The machine's owner was asked to start it; the answer is awaited. */
+  /** The start was requested from the machine's owner, which has not answered. */
   REQUESTED,
-  /** The machine's owner took the start. */
+  /** The machine's owner accepted the start. */
   PLACED,
-  /** Its worker reported that it runs. */
+  /** The worker reported that the task runs. */
   RUNNING,
-  /** A stop was commanded. */
+  /** A stop was requested. */
   STOPPING
 }
--- a/src/main/java/org/sandford/job/TaskPlacement.java
+++ b/src/main/java/org/sandford/job/TaskPlacement.java
@@ -1,19 +1,21 @@
 package org.sandford.job;
 
-/** One attempt of a task on its machine. Used on the event loop. */
+/** One attempt of a task on a machine. Used on the event loop. */
 final class TaskPlacement {
   final Job job;
   final int task;
   final long attempt;
   final String machine;
 
-  /** The generation of the machine's assignment under which its owner was asked. */
+  /**
+   * The generation of the machine's assignment when the start was requested or the task adopted.
+   */
   final long machineGeneration;
 
-  /** The label of the controller that owned the machine then. */
+  /** The label of the controller that owned the machine at that time. */
   final String owner;
 
-  /** The epoch of the link over which that controller was asked. */
+  /** The epoch of the connection to that controller at that time. */
   final int linkEpoch;
 
   final String zone;
@@ -48,7 +50,7 @@
     return phase == TaskPhase.RUNNING;
   }
 
-  /** The one place where a task's phase changes, which is forward only: a stop is never undone. */
+  /** Changes the phase; no other code does. Ignores steps backward, so a stop is never undone. */
   void transitionTo(TaskPhase next) {
     if (next.compareTo(phase) <= 0) {
       return;
--- a/src/main/java/org/sandford/job/TaskPlacements.java
+++ b/src/main/java/org/sandford/job/TaskPlacements.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 
 /**
- * The placements of one job's tasks, at most one for each. How many run, and how many each zone and
- * each machine has, is counted along with every change. Used on the event loop.
+ * The placements of one job's tasks, at most one per task. The numbers of running tasks and of
+ * placements per zone and machine are updated on every change. Used on the event loop.
  */
 final class TaskPlacements {
   private final Map<Integer, TaskPlacement> byTask = new TreeMap<>();
@@ -20,12 +20,12 @@
   private final Multiset<String> countByMachine = HashMultiset.create();
   private int running;
 
-  /** The task's placement, or null when it waits or is done. */
+  /** Returns the task's placement, or null when the task waits or is done. */
   TaskPlacement of(int task) {
     return byTask.get(task);
   }
 
-  /** A copy in the order of the tasks, since most that is done with placements changes them. */
+  /** Returns a copy in the order of the tasks, since most callers change placements in the loop. */
   List<TaskPlacement> all() {
     return new ArrayList<>(byTask.values());
   }
@@ -38,24 +38,24 @@
     return running;
   }
 
-  /** How many placements each zone has; a copy. */
+  /** Returns the number of placements per zone, as a copy. */
   Map<String, Integer> zones() {
     Map<String, Integer> zones = new HashMap<>();
     countByZone.entrySet().forEach(zone -> zones.put(zone.getElement(), zone.getCount()));
     return zones;
   }
 
-  /** The machines that have a placement; a copy. */
+  /** Returns the machines that have a placement, as a copy. */
   Set<String> machines() {
     return new HashSet<>(countByMachine.elementSet());
   }
 
-  /** Whether the machine has this placement and no other. */
+  /** Returns whether the machine has this placement of the job and no other. */
   boolean isAloneOnMachine(TaskPlacement placement) {
     return countByMachine.count(placement.machine) == 1;
   }
 
-  /** Records the placement, in place of a former one of its task. */
+  /** Records the placement, which replaces a previous one of its task. */
   void put(TaskPlacement placement) {
     TaskPlacement former = byTask.put(placement.task, placement);
     if (former != null) {
@@ -66,7 +66,7 @@
     running += placement.isRunning() ? 1 : 0;
   }
 
-  /** Removes this very placement; false when its task has another one or none. */
+  /** Removes this placement. Returns false when its task has another one or none. */
   boolean remove(TaskPlacement placement) {
     if (!byTask.remove(placement.task, placement)) {
       return false;
@@ -81,7 +81,7 @@
     running -= placement.isRunning() ? 1 : 0;
   }
 
-  /** The phase of a placement changed, which may be its task's no more. */
+  /** Updates the count of running tasks, unless the placement was replaced or removed. */
   void phaseChanged(TaskPlacement placement, boolean ranBefore) {
     if (byTask.get(placement.task) == placement) {
       running += (placement.isRunning() ? 1 : 0) - (ranBefore ? 1 : 0);
--- a/src/main/java/org/sandford/job/TaskReconciler.java
+++ b/src/main/java/org/sandford/job/TaskReconciler.java
@@ -14,9 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings the placements of this controller's jobs in line with the machine snapshots that the
- * machines' owners publish: states are taken over, lost tasks wait again, attempts of a former
- * owner are adopted, and those beside a task's placement are stopped. Runs on the event loop.
+ * Reconciles the placements of this controller's jobs with the machine snapshots that the machines'
+ * owners publish. Updates the tasks' phases, releases lost tasks so that they wait again, adopts
+ * attempts of a former owner, and stops duplicate attempts. Runs on the event loop.
  */
 final class TaskReconciler {
   private static final Logger log = LoggerFactory.getLogger(TaskReconciler.class);
@@ -46,7 +46,7 @@
     this.exits = exits;
   }
 
-  /** Reconciles all tasks of the snapshot, and those that it lacks. */
+  /** Reconciles all tasks of the snapshot and all placements that are missing from it. */
   void reconcile(String from, MachineSnapshot snapshot) {
     if (!isAuthoritative(snapshot)) {
       return;
@@ -67,12 +67,12 @@
   }
 
   /**
-   * Takes in what the machines hold of jobs that were not known when it was reported; a former
-   * owner may have started their tasks, and what does not change is not reported again. Of other
-   * jobs nothing is taken from stored snapshots: a start that was answered since stands in the next
-   * snapshot only, and its task must not count as lost for that.
+   * Reconciles stored snapshots for jobs that became known only now. A former owner may have
+   * started their tasks, and unchanged machines are not reported again. Tasks of other jobs are
+   * skipped: a start that was accepted after a stored snapshot appears only in the next one, and
+   * its task must not be released as lost.
    *
-   * @param received all stored snapshots; not changed while this runs
+   * @param received all stored snapshots; not modified during the call
    * @param jobs ids of the jobs that became known
    */
   void adoptTasks(Collection<ReceivedSnapshot> received, Set<String> jobs) {
@@ -87,17 +87,17 @@
   }
 
   /**
-   * Whether the snapshot names all that the machine holds. One that comes after its machine left
-   * the map names tasks that are gone; taken in, they would keep their placements for ever, since
-   * nothing is reported of that machine again.
+   * Returns whether the snapshot lists all tasks of a machine in the assignment map. A snapshot
+   * that arrives after its machine left the map lists tasks that are gone. Their placements would
+   * never be released, since the machine is not reported again.
    */
   private boolean isAuthoritative(MachineSnapshot snapshot) {
     return snapshot.reconciled && cluster.machines().of().containsKey(snapshot.machine);
   }
 
   /**
-   * The placement is not on its machine. A start without an answer waits for it, unless a newer
-   * owner reconciled the machine.
+   * Releases a placement that its machine's snapshot lacks. An unanswered start is kept until the
+   * answer comes, unless a newer owner reconciled the machine.
    */
   private void reconcileMissing(MachineSnapshot snapshot, TaskPlacement placement) {
     boolean startPending = placement.phase() == TaskPhase.REQUESTED;
@@ -158,7 +158,7 @@
     }
   }
 
-  /** Stops a task of a cancelled job, or one that can save before its machine is taken away. */
+  /** Stops a task of a cancelled job, or one that can save before its machine is interrupted. */
   private void stopIfRequired(TaskPlacement placement, MachineSnapshot snapshot) {
     Job job = placement.job;
     if (job.phase() == Job.Phase.ABORTING) {
@@ -176,9 +176,10 @@
   }
 
   /**
-   * Whether a former owner of the team started this attempt after the one known here had ended. A
-   * stored snapshot may be older than this controller's ownership: the attempt that stands there is
-   * long gone, since a later owner starts a task anew only then, and the later one is alive.
+   * Returns whether a former owner of the team started this attempt after the known one had ended.
+   * The known attempt may come from a stored snapshot older than this controller's ownership. An
+   * owner starts a task again only after the previous attempt ended, so the later attempt is the
+   * live one.
    */
   private boolean startedByLaterOwner(Job job, TaskSnapshot task, TaskPlacement known) {
     long generation = owned.team(job.spec.team()).generation;
@@ -186,11 +187,11 @@
     return ofFormerOwner && task.attempt > known.attempt;
   }
 
-  /** Has an attempt stopped beside which the task has another. */
+  /** Stops an attempt of a task whose placement is another attempt. */
   private void stopDuplicate(
       MachineSnapshot snapshot, Job job, TaskSnapshot task, TaskPlacement known) {
     if (!cluster.sessionLeaseValid()) {
-      // The team may have another owner by now, whose attempt this is.
+      // The team may have a new owner by now that started this attempt.
       return;
     }
     log.error(
@@ -205,7 +206,7 @@
     commands.stopAttempt(job, snapshot.machine, task.task, task.attempt);
   }
 
-  /** Records an attempt of a former owner, in place of an older one if there is any. */
+  /** Records an attempt of a former owner, which replaces an older one if there is any. */
   private TaskPlacement adopt(String from, MachineSnapshot snapshot, Job job, TaskSnapshot task) {
     TaskPlacement older = job.placementOf(task.task);
     if (older != null) {
--- a/src/main/java/org/sandford/job/TaskStarter.java
+++ b/src/main/java/org/sandford/job/TaskStarter.java
@@ -7,8 +7,8 @@
 import org.sandford.placement.Planner;
 
 /**
- * Commits plans: each task of a plan gets an attempt, its placement is recorded, and its start is
- * requested from the machine's owner. Runs on the event loop.
+ * Commits plans. For each task of a plan, assigns an attempt, records the placement and requests
+ * the start from the machine's owner. Runs on the event loop.
  */
 final class TaskStarter {
   private final Cluster cluster;
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Starts the tasks of the plan. Those whose start could not be sent wait again, once all of a
-   * gang's starts went out.
+   * Starts the tasks of the plan. Tasks whose start could not be sent wait again; for a gang, only
+   * after all its other starts were sent.
    */
   void start(Team team, Job job, Planner.Plan plan) {
     List<Integer> tasks = job.tasks.firstWaiting(plan.tasks());
--- a/src/main/java/org/sandford/job/UnreportedMachines.java
+++ b/src/main/java/org/sandford/job/UnreportedMachines.java
@@ -7,23 +7,22 @@
 import java.util.function.Predicate;
 
 /**
- * The machines that have not reported yet what they hold of a team after its failover. They may
- * hold tasks of the former owner that are not known here, up to their capacity. Used on the event
- * loop.
+ * The machines that have not yet reported a team's tasks after its failover. They may run tasks of
+ * the former owner that are unknown here, up to their capacity. Used on the event loop.
  */
 final class UnreportedMachines {
   private final Function<String, Resources> capacities;
   private final Map<String, Resources> machines = new HashMap<>();
 
-  /** Machines of unknown capacity; anything may be on them. */
+  /** The number of machines of unknown capacity. */
   private int unbounded;
 
   private Resources bounded = Resources.ZERO;
 
-  /** Whether all machines of the assignment map were gone through. */
+  /** Whether the machines of the assignment map were added. */
   private final boolean listed;
 
-  /** Any machine may be among them: the assignment map was not gone through yet. */
+  /** Returns a set that may include any machine, since the assignment map was not read yet. */
   static UnreportedMachines unlisted() {
     return new UnreportedMachines(machine -> Resources.UNBOUNDED, false);
   }
@@ -33,7 +32,7 @@
     this.listed = listed;
   }
 
-  /** {@code capacities} gives what a machine can hold by its name. */
+  /** Creates an empty set; {@code capacities} returns a machine's capacity by its name. */
   UnreportedMachines(Function<String, Resources> capacities) {
     this(capacities, true);
   }
@@ -86,7 +85,7 @@
     }
   }
 
-  /** The most that tasks on these machines can hold together. */
+  /** Returns the total capacity of these machines, a bound on what their tasks use. */
   Resources capacity() {
     return !listed || unbounded > 0 ? Resources.UNBOUNDED : bounded;
   }
--- a/src/main/java/org/sandford/job/UnschedulableClasses.java
+++ b/src/main/java/org/sandford/job/UnschedulableClasses.java
@@ -5,23 +5,23 @@
 import org.sandford.constants.JobConstants;
 
 /**
- * The task equivalence classes that found no place, and for how many tasks. It holds until free
- * resources may have grown, and for {@link JobConstants#PLAN_IDLE_MS} at the most. Runs on the
- * event loop.
+ * The task equivalence classes that could not be placed, with the smallest number of tasks that did
+ * not fit. An entry is valid until free resources may have grown, and for {@link
+ * JobConstants#PLAN_IDLE_MS} at the most. Runs on the event loop.
  */
 final class UnschedulableClasses {
   private final Map<TaskEquivalenceClass, Integer> minUnschedulableTasks = new HashMap<>();
 
-  /** Whether the two values that follow were set. */
+  /** Whether {@code capacityGrowth} and {@code sinceMs} are set. */
   private boolean begun;
 
   private long capacityGrowth;
   private long sinceMs;
 
   /**
-   * Forgets what no longer holds.
+   * Begins a planning round and drops entries that are no longer valid.
    *
-   * @param growth rises whenever free resources may have grown
+   * @param growth a counter that rises whenever free resources may have grown
    */
   void beginRound(long growth, long nowMs) {
     if (!begun || growth != capacityGrowth || nowMs - sinceMs > JobConstants.PLAN_IDLE_MS) {
@@ -32,12 +32,12 @@
     }
   }
 
-  /** Whether so many tasks of the class surely find no place. */
+  /** Returns whether this number of tasks of the class is known not to fit. */
   boolean contains(TaskEquivalenceClass equivalenceClass, int tasks) {
     return minUnschedulableTasks.getOrDefault(equivalenceClass, Integer.MAX_VALUE) <= tasks;
   }
 
-  /** So many tasks of the class, and any more, found no place. */
+  /** Records that this number of tasks of the class does not fit, nor does any larger one. */
   void add(TaskEquivalenceClass equivalenceClass, int tasks) {
     minUnschedulableTasks.merge(equivalenceClass, tasks, Math::min);
   }
--- a/src/main/java/org/sandford/job/UntrackedTasks.java
+++ b/src/main/java/org/sandford/job/UntrackedTasks.java
@@ -14,23 +14,23 @@
 import org.sandford.peer.wire.TaskState;
 
 /**
- * Tasks on machines that belong to a team of this controller, but to no attempt that it tracks. A
- * job that was cancelled under a former owner is not among the open jobs that its successor loads,
- * and still its tasks use resources until they are gone. They count against the team's limit like
- * any other.
+ * Tasks on machines that belong to a team of this controller but to no attempt that it tracks. A
+ * job that was cancelled under a former owner is not among the open jobs that the new owner loads,
+ * yet its tasks use resources until they are gone. They count against the team's limit like any
+ * other.
  *
- * <p>Only machines with such tasks are stored, so counting them does not cost a step for each
- * machine. Used on the event loop.
+ * <p>Stores only machines with such tasks, so that counting does not iterate over all machines.
+ * Used on the event loop.
  */
 final class UntrackedTasks {
   /**
-   * A machine with such tasks.
+   * The untracked tasks on one machine.
    *
-   * @param spare what tasks of unknown size may use there at the most
+   * @param spare the most that tasks of unknown size may use on the machine
    */
   private record OnMachine(List<TaskSnapshot> tasks, Resources spare) {}
 
-  /** What a snapshot says of a task that its machine's owner does not know the job of. */
+  /** The team in a snapshot of a task whose job the machine's owner does not know. */
   private static final String UNKNOWN_TEAM = "";
 
   private final OwnedJobs owned;
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Takes in a machine's snapshot. A reconciled one names all that the machine holds; what another
-   * one lacks may still be there.
+   * Updates the machine's untracked tasks from its snapshot. A reconciled snapshot lists all tasks
+   * on the machine. With any other, known tasks that it lacks are kept, since they may still run.
    */
   void update(MachineSnapshot snapshot) {
     List<TaskSnapshot> untracked = new ArrayList<>();
@@ -68,7 +68,7 @@
     }
   }
 
-  /** The machine left the assignment map, and all that was on it is gone. */
+  /** Removes a machine that left the assignment map, and whose tasks are gone. */
   void machineRemoved(String machine) {
     machines.remove(machine);
   }
@@ -77,7 +77,7 @@
     return Attempt.of(a).equals(Attempt.of(b));
   }
 
-  /** Whether the task is on its machine, perhaps of an owned team, and counted nowhere else. */
+  /** Returns whether a task that has not exited may be of an owned team and is not tracked. */
   private boolean countsAsUntracked(TaskSnapshot task) {
     if (task.state == TaskState.EXITED || isTracked(task)) {
       return false;
@@ -92,7 +92,7 @@
     return placement != null && placement.attempt == task.attempt;
   }
 
-  /** The team of the task's job, or {@link #UNKNOWN_TEAM}. */
+  /** Returns the team of the task's job, or {@link #UNKNOWN_TEAM}. */
   private String teamOf(TaskSnapshot task) {
     if (!task.team.isEmpty()) {
       return task.team;
@@ -115,7 +115,7 @@
     return !task.team.isEmpty();
   }
 
-  /** Adds to each team of this controller what these tasks use, or may use. */
+  /** Adds the resources that these tasks use or may use to their teams. */
   void addTo(Map<String, Team> teams) {
     Iterator<OnMachine> each = machines.values().iterator();
     while (each.hasNext()) {
--- a/src/main/java/org/sandford/job/WaitReason.java
+++ b/src/main/java/org/sandford/job/WaitReason.java
@@ -3,16 +3,16 @@
 import java.util.Locale;
 
 /**
- * Why a job's tasks wait. It is noted in every planning round, and put into words only for a
- * reader: users see the text.
+ * The reason why a job's tasks wait. It is recorded in every planning round and formatted only when
+ * it is shown, to users among others.
  */
 sealed interface WaitReason {
   WaitReason NONE = new None();
 
-  /** The reason in the words that users are told. */
+  /** Returns the text that users are shown. */
   String text();
 
-  /** Nothing is in the way. */
+  /** No known obstacle. */
   record None() implements WaitReason {
     @Override
     public String text() {
@@ -49,7 +49,7 @@
     }
   }
 
-  /** All tasks of the gang are placed, and some do not run yet. */
+  /** All tasks of the gang are placed, but some do not run yet. */
   record GangStarting(int missing, int tasks) implements WaitReason {
     @Override
     public String text() {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** A task failed, and is retried. */
+  /** A task failed and is retried. */
   record TaskFailed(int task, String machine, String zone) implements WaitReason {
     @Override
     public String text() {
@@ -65,7 +65,7 @@
     }
   }
 
-  /** No machines have free resources for so many tasks at once. */
+  /** No machines have free resources for this number of tasks at once. */
   record InsufficientResources(int tasks, double cpus, double ram) implements WaitReason {
     @Override
     public String text() {
