--- a/src/main/java/org/sandford/job/AssignedMachines.java
+++ b/src/main/java/org/sandford/job/AssignedMachines.java
@@ -11,48 +11,48 @@
 final class AssignedMachines {
   private final Cluster cluster;
   private final CandidateMachines candidates;
-  private final UntrackedTasks untracked;
+  private final UntrackedTasks untrackedTasks;
   private final PlacementLedger ledger;
 
   /** The map as of the last call of {@link #applyMap}. */
-  private Map<String, MachineAssignment> applied = Map.of();
+  private Map<String, MachineAssignment> appliedMap = Map.of();
 
   AssignedMachines(
       Cluster cluster,
       CandidateMachines candidates,
-      UntrackedTasks untracked,
+      UntrackedTasks untrackedTasks,
       PlacementLedger ledger) {
     this.cluster = cluster;
     this.candidates = candidates;
-    this.untracked = untracked;
+    this.untrackedTasks = untrackedTasks;
     this.ledger = ledger;
   }
 
   /** Applies the changes of the map since the last call. */
   void applyMap() {
     Map<String, MachineAssignment> current = cluster.machines().of();
-    if (current == applied) {
+    if (current == appliedMap) {
       return;
     }
-    Map<String, MachineAssignment> before = applied;
-    applied = current;
+    Map<String, MachineAssignment> previous = appliedMap;
+    appliedMap = current;
     current.forEach(
         (name, assignment) -> {
-          if (!assignment.equals(before.get(name))) {
+          if (!assignment.equals(previous.get(name))) {
             candidates.invalidate(name);
           }
         });
-    for (String name : before.keySet()) {
+    for (String name : previous.keySet()) {
       if (!current.containsKey(name)) {
-        removed(name);
+        handleRemoval(name);
       }
     }
   }
 
   /** Handles a machine that was decommissioned, and whose tasks are gone. */
-  private void removed(String machine) {
+  private void handleRemoval(String machine) {
     candidates.invalidate(machine);
-    untracked.machineRemoved(machine);
+    untrackedTasks.machineRemoved(machine);
     ledger
         .placementsOn(machine)
         .forEach(
--- a/src/main/java/org/sandford/job/CandidateMachines.java
+++ b/src/main/java/org/sandford/job/CandidateMachines.java
@@ -30,35 +30,35 @@
   private final MachineSnapshots machineSnapshots;
   private final Cluster cluster;
   private final PeerLinks links;
-  private final String self;
-  private final Function<String, InstanceType> instanceTypes;
+  private final String ownLabel;
+  private final Function<String, InstanceType> instanceTypeByName;
   private final Map<String, CandidateMachine> candidates = new TreeMap<>();
   private final Map<String, Set<TaskPlacement>> placementsByMachine = new HashMap<>();
-  private final Set<String> stale = new LinkedHashSet<>();
-  private long capacityGrowth;
+  private final Set<String> staleMachines = new LinkedHashSet<>();
+  private long capacityGrowthCount;
 
   CandidateMachines(
       MachineSnapshots machineSnapshots,
       Cluster cluster,
       PeerLinks links,
-      String self,
-      Function<String, InstanceType> instanceTypes) {
+      String ownLabel,
+      Function<String, InstanceType> instanceTypeByName) {
     this.machineSnapshots = machineSnapshots;
     this.cluster = cluster;
     this.links = links;
-    this.self = self;
-    this.instanceTypes = instanceTypes;
+    this.ownLabel = ownLabel;
+    this.instanceTypeByName = instanceTypeByName;
   }
 
   /** Marks the machine's free resources to be recomputed. */
   void invalidate(String machine) {
-    stale.add(machine);
+    staleMachines.add(machine);
   }
 
   /** Marks the free resources of all machines to be recomputed. */
   void invalidateAll() {
-    stale.addAll(candidates.keySet());
-    machineSnapshots.all().forEach(received -> stale.add(received.snapshot().machine));
+    staleMachines.addAll(candidates.keySet());
+    machineSnapshots.all().forEach(received -> staleMachines.add(received.snapshot().machine));
   }
 
   /** Deducts the placement's resources from its machine, reported by the owner or not. */
@@ -66,7 +66,7 @@
     placementsByMachine
         .computeIfAbsent(placement.machine, machine -> new LinkedHashSet<>())
         .add(placement);
-    stale.add(placement.machine);
+    staleMachines.add(placement.machine);
   }
 
   /** Stops deducting the placement's resources beyond those in its machine's snapshot. */
@@ -76,7 +76,7 @@
       if (onMachine.isEmpty()) {
         placementsByMachine.remove(placement.machine);
       }
-      stale.add(placement.machine);
+      staleMachines.add(placement.machine);
     }
   }
 
@@ -90,18 +90,18 @@
    * Returns a counter that rises whenever free resources may have grown. A job that could not be
    * placed need not be tried again while the counter is unchanged.
    */
-  long capacityGrowth() {
+  long capacityGrowthCount() {
     refresh();
-    return capacityGrowth;
+    return capacityGrowthCount;
   }
 
   /** Returns the machines that accept tasks and whose owner accepts requests at present. */
   List<CandidateMachine> usable() {
     refresh();
-    Map<String, Boolean> ownerTakesRequests = new HashMap<>();
+    Map<String, Boolean> ownerAcceptsRequests = new HashMap<>();
     List<CandidateMachine> usable = new ArrayList<>(candidates.size());
     for (CandidateMachine candidate : candidates.values()) {
-      if (ownerTakesRequests.computeIfAbsent(
+      if (ownerAcceptsRequests.computeIfAbsent(
           candidate.owner,
           owner -> links.isLive(owner) && machineSnapshots.isOwnerLeaseValid(owner))) {
         usable.add(candidate);
@@ -111,25 +111,25 @@
   }
 
   private void refresh() {
-    List<String> unresolved = new ArrayList<>();
-    for (String machine : stale) {
+    List<String> machinesOfUnknownType = new ArrayList<>();
+    for (String machine : staleMachines) {
       CandidateMachine before = candidates.remove(machine);
       ReceivedSnapshot received = machineSnapshots.get(machine);
       if (received == null) {
         continue;
       }
-      InstanceType instanceType = instanceTypes.apply(received.snapshot().instanceType);
+      InstanceType instanceType = instanceTypeByName.apply(received.snapshot().instanceType);
       if (instanceType == null) {
         // The cloud has not listed its instance types yet.
-        unresolved.add(machine);
+        machinesOfUnknownType.add(machine);
       } else if (acceptsTasks(received)) {
         CandidateMachine now = candidateFrom(received, instanceType);
         candidates.put(machine, now);
-        capacityGrowth += hasGrown(before, now) ? 1 : 0;
+        capacityGrowthCount += hasGrown(before, now) ? 1 : 0;
       }
     }
-    stale.clear();
-    stale.addAll(unresolved);
+    staleMachines.clear();
+    staleMachines.addAll(machinesOfUnknownType);
   }
 
   /** Returns whether free resources grew; {@code before} is null for a new candidate. */
@@ -169,7 +169,7 @@
             snapshot.instanceType,
             snapshot.zone,
             snapshot.spot,
-            received.owner().equals(self),
+            received.owner().equals(ownLabel),
             instanceType.cpus(),
             instanceType.gpus(),
             instanceType.ram());
@@ -177,7 +177,7 @@
     if (!snapshot.reservations.isEmpty()) {
       candidate.reservations = reservationsOf(snapshot);
     }
-    takeUsed(candidate, snapshot);
+    deductUsed(candidate, snapshot);
     return candidate;
   }
 
@@ -196,7 +196,7 @@
   }
 
   /** Deducts the use of reported tasks and of placements that the owner does not report yet. */
-  private void takeUsed(CandidateMachine candidate, MachineSnapshot snapshot) {
+  private void deductUsed(CandidateMachine candidate, MachineSnapshot snapshot) {
     Set<TaskPlacement> placements = placementsByMachine.getOrDefault(snapshot.machine, Set.of());
     Set<Attempt> reported = placements.isEmpty() ? Set.of() : new HashSet<>();
     for (TaskSnapshot task : snapshot.tasks) {
--- a/src/main/java/org/sandford/job/DemandReport.java
+++ b/src/main/java/org/sandford/job/DemandReport.java
@@ -16,30 +16,30 @@
  */
 final class DemandReport {
   /** The resources that a team's limit still allows. */
-  private static final class Allowance {
+  private static final class RemainingQuota {
     private double cpus;
     private double gpus;
 
-    Allowance(Team team) {
+    RemainingQuota(Team team) {
       cpus = team.limits.cpusMax() - team.cpusUsed();
       gpus = team.limits.gpusMax() - team.gpusUsed();
     }
 
     /** Returns how many of the job's waiting tasks are allowed; for a gang all or none. */
-    int tasksOf(Job job) {
+    int allowedTasks(Job job) {
       int allowed =
           Math.min(countFitting(cpus, job.spec.cpus()), countFitting(gpus, job.spec.gpus()));
       int tasks = Math.max(0, Math.min(allowed, job.tasks.waitingCount()));
       return job.spec.gang() && tasks < job.tasks.waitingCount() ? 0 : tasks;
     }
 
-    private static int countFitting(double left, double each) {
-      return each <= 0
+    private static int countFitting(double remaining, double perTask) {
+      return perTask <= 0
           ? Integer.MAX_VALUE
-          : (int) Math.floor((left + PlacementConstants.EPSILON) / each);
+          : (int) Math.floor((remaining + PlacementConstants.EPSILON) / perTask);
     }
 
-    void take(Job job, int tasks) {
+    void deduct(Job job, int tasks) {
       cpus -= tasks * job.spec.cpus();
       gpus -= tasks * job.spec.gpus();
     }
@@ -49,50 +49,51 @@
   private record RankedClass(TaskEquivalenceClass equivalenceClass, JobSpec.Rank rank) {}
 
   private final Map<String, Team> teams;
-  private final long now;
-  private final Map<String, Allowance> allowances = new HashMap<>();
+  private final long nowNanos;
+  private final Map<String, RemainingQuota> remainingQuotas = new HashMap<>();
   private final Map<RankedClass, DemandClass> byRankedClass = new HashMap<>();
   private final List<DemandClass> classes = new ArrayList<>();
 
   /**
    * Creates a report for teams whose quota use was just counted.
    *
-   * @param now the time on the monotonic clock in nanoseconds
+   * @param nowNanos the time on the monotonic clock in nanoseconds
    */
-  DemandReport(Map<String, Team> teams, long now) {
+  DemandReport(Map<String, Team> teams, long nowNanos) {
     this.teams = teams;
-    this.now = now;
+    this.nowNanos = nowNanos;
   }
 
   /** Returns the demand of the waiting jobs, which are given in planning order. */
-  List<DemandClass> of(List<Job> queue) {
-    queue.forEach(this::add);
+  List<DemandClass> demandOf(List<Job> waitingJobs) {
+    waitingJobs.forEach(this::add);
     return classes;
   }
 
   private void add(Job job) {
-    Allowance allowance =
-        allowances.computeIfAbsent(job.spec.team(), name -> new Allowance(teams.get(name)));
-    int tasks = allowance.tasksOf(job);
+    RemainingQuota remainingQuota =
+        remainingQuotas.computeIfAbsent(
+            job.spec.team(), name -> new RemainingQuota(teams.get(name)));
+    int tasks = remainingQuota.allowedTasks(job);
     if (tasks == 0) {
       return;
     }
-    allowance.take(job, tasks);
-    double waitedS = (now - job.tasks.waitingSinceNanos()) / TimeConstants.NANOS_PER_S;
+    remainingQuota.deduct(job, tasks);
+    double waitedS = (nowNanos - job.tasks.waitingSinceNanos()) / TimeConstants.NANOS_PER_S;
     JobSpec spec = job.spec;
     if (spec.spreadAcrossZones() || spec.sameZone() || spec.gang()) {
       classes.add(classOf(job, tasks, waitedS));
       return;
     }
     RankedClass key = new RankedClass(job.equivalenceClass, spec.rank());
-    DemandClass known = byRankedClass.get(key);
-    if (known == null) {
+    DemandClass existing = byRankedClass.get(key);
+    if (existing == null) {
       DemandClass first = classOf(job, tasks, waitedS);
       byRankedClass.put(key, first);
       classes.add(first);
     } else {
-      known.tasks += tasks;
-      known.waitedS = Math.max(known.waitedS, waitedS);
+      existing.tasks += tasks;
+      existing.waitedS = Math.max(existing.waitedS, waitedS);
     }
   }
 
--- a/src/main/java/org/sandford/job/Gang.java
+++ b/src/main/java/org/sandford/job/Gang.java
@@ -40,22 +40,22 @@
   }
 
   private Phase phase = Phase.WAITING;
-  private long since;
-  private boolean ran;
-  private int failuresInRow;
+  private long phaseStartedAtNanos;
+  private boolean allTasksRan;
+  private int consecutiveFailures;
 
   Phase phase() {
     return phase;
   }
 
   /** Returns when the current phase began, in nanoseconds of the monotonic clock. */
-  long since() {
-    return since;
+  long phaseStartedAtNanos() {
+    return phaseStartedAtNanos;
   }
 
   /** Returns the number of consecutive attempts that ended before all tasks ran. */
-  int failuresInRow() {
-    return failuresInRow;
+  int consecutiveFailures() {
+    return consecutiveFailures;
   }
 
   /** Returns whether an attempt is active whose tasks do not all run yet. */
@@ -64,7 +64,7 @@
   }
 
   /** Changes the phase; no other code does. Returns false if the phase is unchanged. */
-  boolean transitionTo(Phase next, long now) {
+  boolean transitionTo(Phase next, long nowNanos) {
     if (phase == next) {
       return false;
     }
@@ -72,18 +72,18 @@
       throw new IllegalStateException("a gang that is " + phase + " cannot become " + next);
     }
     switch (next) {
-      case STARTING -> ran = false;
+      case STARTING -> allTasksRan = false;
       case RUNNING -> {
-        ran = true;
-        failuresInRow = 0;
+        allTasksRan = true;
+        consecutiveFailures = 0;
       }
-      case WAITING -> failuresInRow += ran ? 0 : 1;
+      case WAITING -> consecutiveFailures += allTasksRan ? 0 : 1;
       default -> {
         // The other phases set only the start time.
       }
     }
     phase = next;
-    since = now;
+    phaseStartedAtNanos = nowNanos;
     return true;
   }
 }
--- a/src/main/java/org/sandford/job/GangReservation.java
+++ b/src/main/java/org/sandford/job/GangReservation.java
@@ -24,7 +24,7 @@
   }
 
   /** Removes a machine whose reservation the gang uses. */
-  void use(String machine) {
+  void markUsed(String machine) {
     ownerByMachine.remove(machine);
   }
 
@@ -34,9 +34,9 @@
         && nowMs - reservedAtMs < JobConstants.RESERVATION_MS - GangConstants.GANG_RESERVE_MS;
   }
 
-  /** Clears the reservation and passes each machine with its owner to {@code release}. */
-  void release(BiConsumer<String, String> release) {
-    ownerByMachine.forEach(release);
+  /** Clears the reservation and passes each machine with its owner to {@code releaseAction}. */
+  void releaseAll(BiConsumer<String, String> releaseAction) {
+    ownerByMachine.forEach(releaseAction);
     ownerByMachine.clear();
   }
 }
--- a/src/main/java/org/sandford/job/Gangs.java
+++ b/src/main/java/org/sandford/job/Gangs.java
@@ -56,22 +56,23 @@
     }
     Team team = owned.team(job.spec.team());
     if (team != null && cluster.sessionLeaseValid()) {
-      boolean recovered = !job.inherited || team.phase() == Team.Phase.READY;
-      check(job, recovered);
+      boolean teamRecovered = !job.inherited || team.phase() == Team.Phase.READY;
+      updatePhase(job, teamRecovered);
     }
   }
 
   /** Handles a gang of which the starts of all tasks were requested. */
-  void started(Job job) {
+  void startsRequested(Job job) {
     transitionTo(job, Phase.STARTING, "all tasks placed");
-    check(job, true);
+    updatePhase(job, true);
   }
 
   /**
-   * Updates the gang's phase from its placements. While {@code recovered} is false, directly after
-   * a failover, missing tasks do not count as lost, since they may not have been reported yet.
+   * Updates the gang's phase from its placements. While {@code teamRecovered} is false, directly
+   * after a failover, missing tasks do not count as lost, since they may not have been reported
+   * yet.
    */
-  private void check(Job job, boolean recovered) {
+  private void updatePhase(Job job, boolean teamRecovered) {
     if (job.phase() != Job.Phase.OPEN) {
       return;
     }
@@ -80,10 +81,10 @@
       return;
     }
     switch (job.gang.phase()) {
-      case WAITING -> checkRecovered(job, recovered);
-      case STARTING, RENDEZVOUS, RUNNING -> checkAttempt(job, recovered);
-      case STOPPING -> checkOrderlyStop(job);
-      case TERMINATING -> terminate(job);
+      case WAITING -> adoptRecoveredAttempt(job, teamRecovered);
+      case STARTING, RENDEZVOUS, RUNNING -> checkAttempt(job, teamRecovered);
+      case STOPPING -> checkGracefulStop(job);
+      case TERMINATING -> stopRemainingTasks(job);
       case DONE -> {
         // Terminal phase.
       }
@@ -91,7 +92,7 @@
   }
 
   /** Stops all tasks at the same time so that they save a common checkpoint. */
-  void stopOrderly(Job job, int graceS) {
+  void stopGracefully(Job job, int graceS) {
     if (job.gang.phase() != Phase.RUNNING) {
       return;
     }
@@ -100,50 +101,50 @@
   }
 
   /** Adopts an attempt of a former owner if tasks of it were found. */
-  private void checkRecovered(Job job, boolean recovered) {
-    if (job.placementCount() == 0 || !recovered) {
+  private void adoptRecoveredAttempt(Job job, boolean teamRecovered) {
+    if (job.placementCount() == 0 || !teamRecovered) {
       return;
     }
     transitionTo(job, Phase.RENDEZVOUS, "tasks of a former owner found");
     checkAttempt(job, true);
   }
 
-  private void checkAttempt(Job job, boolean recovered) {
-    if (recovered && !complete(job)) {
-      withdraw(job, "task lost");
+  private void checkAttempt(Job job, boolean teamRecovered) {
+    if (teamRecovered && !hasCompleteAttempt(job)) {
+      endAttempt(job, "task lost");
       return;
     }
     if (job.running() == job.spec.tasks()) {
       transitionTo(job, Phase.RUNNING, "all tasks run");
       return;
     }
-    if (job.gang.phase() == Phase.STARTING && allAccepted(job)) {
+    if (job.gang.phase() == Phase.STARTING && allStartsAccepted(job)) {
       transitionTo(job, Phase.RENDEZVOUS, "all starts accepted");
     }
     if (job.gang.isStarting()
         && secondsInPhase(job) > facts.gangWaitS() * GangConstants.GANG_START_SHARE) {
-      withdraw(job, "start timed out");
+      endAttempt(job, "start timed out");
     }
   }
 
-  private void checkOrderlyStop(Job job) {
+  private void checkGracefulStop(Job job) {
     if (job.placementCount() == 0) {
-      terminated(job);
+      attemptEnded(job);
     } else if (secondsInPhase(job)
         > facts.gangPeerS() + job.spec.checkpointCostS() + GangConstants.GANG_STOP_EXTRA_S) {
-      withdraw(job, "orderly stop timed out");
+      endAttempt(job, "orderly stop timed out");
     }
   }
 
-  private void withdraw(Job job, String reason) {
+  private void endAttempt(Job job, String reason) {
     transitionTo(job, Phase.TERMINATING, reason);
-    terminate(job);
+    stopRemainingTasks(job);
   }
 
-  private void terminate(Job job) {
+  private void stopRemainingTasks(Job job) {
     List<TaskPlacement> remaining = job.placements();
     if (remaining.isEmpty()) {
-      terminated(job);
+      attemptEnded(job);
     } else {
       remaining.forEach(task -> commands.stop(task, 0));
     }
@@ -153,9 +154,9 @@
    * Lets the next attempt begin now that all tasks are confirmed gone, after a backoff if the last
    * one never ran.
    */
-  private void terminated(Job job) {
+  private void attemptEnded(Job job) {
     transitionTo(job, Phase.WAITING, "no task is left");
-    int failures = job.gang.failuresInRow();
+    int failures = job.gang.consecutiveFailures();
     if (failures > 0) {
       int doublings = Math.min(failures - 1, MAX_BACKOFF_DOUBLINGS);
       long backoffMs = (long) GangConstants.GANG_BACKOFF_MS << doublings;
@@ -164,29 +165,29 @@
   }
 
   private void transitionTo(Job job, Phase next, String reason) {
-    Phase before = job.gang.phase();
+    Phase previous = job.gang.phase();
     if (job.gang.transitionTo(next, loop.nanos())) {
       log.debug(
           "gang phase changed job={} from={} to={} reason=\"{}\"",
           job.spec.id(),
-          before,
+          previous,
           next,
           reason);
     }
   }
 
   /** Returns whether all tasks have a placement of the same attempt. */
-  private static boolean complete(Job job) {
+  private static boolean hasCompleteAttempt(Job job) {
     List<TaskPlacement> placements = job.placements();
     return placements.size() == job.spec.tasks()
         && placements.stream().allMatch(task -> task.attempt == placements.get(0).attempt);
   }
 
-  private static boolean allAccepted(Job job) {
+  private static boolean allStartsAccepted(Job job) {
     return job.placements().stream().noneMatch(task -> task.phase() == TaskPhase.REQUESTED);
   }
 
   private double secondsInPhase(Job job) {
-    return (loop.nanos() - job.gang.since()) / TimeConstants.NANOS_PER_S;
+    return (loop.nanos() - job.gang.phaseStartedAtNanos()) / TimeConstants.NANOS_PER_S;
   }
 }
--- a/src/main/java/org/sandford/job/JobScheduler.java
+++ b/src/main/java/org/sandford/job/JobScheduler.java
@@ -40,8 +40,8 @@
   private final CandidateMachines candidates;
   private final OwnedJobs owned;
   private final JobAnswers answers;
-  private final UntrackedTasks untracked;
-  private final CancelledJobs cancelled;
+  private final UntrackedTasks untrackedTasks;
+  private final CancelledJobs cancelledJobs;
   private final QuotaUse quota;
   private final PlanningTimer timer;
   private final TaskCommands commands;
@@ -54,7 +54,7 @@
   private final Submissions submissions;
   private final JobCancellation cancellation;
   private final TeamOwnership ownership;
-  private final OpenJobLoader openJobs;
+  private final OpenJobLoader openJobLoader;
   private final TeamRecovery recovery;
   private final SchedulingQueue queue;
   private final PlanningRound planningRound;
@@ -63,7 +63,7 @@
   /**
    * Creates the classes of this package in the order of their dependencies.
    *
-   * @param instanceTypes returns the instance type of a name, or null while it is not known
+   * @param instanceTypeByName returns the instance type of a name, or null while it is not known
    */
   public JobScheduler(
       EventLoop loop,
@@ -75,7 +75,7 @@
       OpenJobReader store,
       TerminalStates terminalStates,
       JobReader jobReader,
-      Function<String, InstanceType> instanceTypes,
+      Function<String, InstanceType> instanceTypeByName,
       AuditLog audit) {
     this.loop = loop;
     this.cluster = cluster;
@@ -83,25 +83,27 @@
     Settings.Facts facts = settings.facts();
 
     candidates =
-        new CandidateMachines(machineSnapshots, cluster, links, settings.label(), instanceTypes);
+        new CandidateMachines(
+            machineSnapshots, cluster, links, settings.label(), instanceTypeByName);
     owned = new OwnedJobs(cluster, jobReader, candidates);
     answers = new JobAnswers(owned, terminalStates, jobReader);
-    untracked = new UntrackedTasks(owned, jobReader, instanceTypes);
-    cancelled =
+    untrackedTasks = new UntrackedTasks(owned, jobReader, instanceTypeByName);
+    cancelledJobs =
         new CancelledJobs(loop, jobReader, cluster::terminalStatesCompleteSince, facts.cancelS());
-    quota = new QuotaUse(owned, untracked, cancelled);
+    quota = new QuotaUse(owned, untrackedTasks, cancelledJobs);
 
-    timer = new PlanningTimer(loop, this::plan);
+    timer = new PlanningTimer(loop, this::runPlanningRound);
     commands = new TaskCommands(cluster, links, owned);
     gangs = new Gangs(loop, facts, cluster, owned, commands);
     PlacementLedger ledger = new PlacementLedger(loop, owned, candidates, gangs, timer);
-    assignedMachines = new AssignedMachines(cluster, candidates, untracked, ledger);
+    assignedMachines = new AssignedMachines(cluster, candidates, untrackedTasks, ledger);
     pendingStarts = new PendingStarts(loop, owned, ledger, commands, gangs, timer);
 
     termination =
-        new JobTermination(loop, owned, terminalStates, answers, cancelled, commands, timer);
+        new JobTermination(loop, owned, terminalStates, answers, cancelledJobs, commands, timer);
     records =
-        new JobRecords(loop, settings, cluster, owned, writer, jobReader, audit, new StoredJobs());
+        new JobRecords(
+            loop, settings, cluster, owned, writer, jobReader, audit, new RecordWriteHandler());
     TaskExits exits = new TaskExits(loop, commands, ledger, records, timer);
     reconciler = new TaskReconciler(loop, cluster, owned, ledger, commands, gangs, exits);
     submissions =
@@ -115,12 +117,12 @@
             terminalStates,
             jobReader,
             answers,
-            new TakenJobs());
+            new JobChangeHandler());
     cancellation = new JobCancellation(owned, answers, commands, records);
 
     ownership = new TeamOwnership(settings, cluster, links, audit, owned, candidates);
-    openJobs = new OpenJobLoader(loop, store, terminalStates, owned);
-    recovery = new TeamRecovery(cluster, machineSnapshots, owned, instanceTypes, timer);
+    openJobLoader = new OpenJobLoader(loop, store, terminalStates, owned);
+    recovery = new TeamRecovery(cluster, machineSnapshots, owned, instanceTypeByName, timer);
 
     queue = new SchedulingQueue(loop, owned);
     Preemptor preemptor = new Preemptor(loop, settings, machineSnapshots, links, new Planner());
@@ -130,7 +132,7 @@
   }
 
   /** Plans after changes of the open jobs, and adopts the running tasks of a job that was found. */
-  private final class TakenJobs implements Submissions.Changes {
+  private final class JobChangeHandler implements Submissions.Changes {
     @Override
     public void jobsChanged() {
       timer.requestRound();
@@ -144,7 +146,7 @@
   }
 
   /** Handles writes of job records that are confirmed by the store. */
-  private final class StoredJobs implements JobRecords.Stored {
+  private final class RecordWriteHandler implements JobRecords.Stored {
     @Override
     public void ended(Job job, TerminalState state) {
       termination.ended(job, state);
@@ -184,16 +186,16 @@
     List<Team> acquired = ownership.applyMap();
     if (!acquired.isEmpty()) {
       // Tasks of these teams were ignored in earlier snapshots.
-      machineSnapshots.all().forEach(received -> untracked.update(received.snapshot()));
-      openJobs.load(acquired, this::openJobsLoaded);
+      machineSnapshots.all().forEach(received -> untrackedTasks.update(received.snapshot()));
+      openJobLoader.load(acquired, this::openJobsLoaded);
     }
     assignedMachines.applyMap();
     recovery.checkAll();
     timer.requestRound();
   }
 
-  private void openJobsLoaded(Set<String> adopted) {
-    adoptTasks(adopted);
+  private void openJobsLoaded(Set<String> adoptedJobs) {
+    adoptTasks(adoptedJobs);
     for (Team team : owned.teams().values()) {
       team.jobs.values().forEach(records::flush);
     }
@@ -202,8 +204,8 @@
     timer.requestRound();
   }
 
-  private void adoptTasks(Set<String> jobs) {
-    reconciler.adoptTasks(List.copyOf(machineSnapshots.all()), jobs);
+  private void adoptTasks(Set<String> jobIds) {
+    reconciler.adoptTasks(List.copyOf(machineSnapshots.all()), jobIds);
   }
 
   /**
@@ -231,9 +233,9 @@
   public void snapshots(String from, SnapshotUpdate snapshots) {
     for (MachineSnapshot snapshot : snapshots.machines) {
       candidates.invalidate(snapshot.machine);
-      if (wasTakenIn(snapshot)) {
+      if (isStored(snapshot)) {
         reconciler.reconcile(from, snapshot);
-        untracked.update(snapshot);
+        untrackedTasks.update(snapshot);
       }
     }
     snapshots.removed.forEach(candidates::invalidate);
@@ -251,7 +253,7 @@
    * Returns whether this instance is the stored snapshot. A comparison by value would be expensive.
    */
   @SuppressWarnings("ReferenceEquality")
-  private boolean wasTakenIn(MachineSnapshot snapshot) {
+  private boolean isStored(MachineSnapshot snapshot) {
     MachineSnapshots.ReceivedSnapshot received = machineSnapshots.get(snapshot.machine);
     return received != null && received.snapshot() == snapshot;
   }
@@ -290,7 +292,8 @@
   public void jobEnded(String id, JsonNode record) {
     TerminalState state = JobRecordCodec.terminalState(record);
     if (state == TerminalState.CANCELLED) {
-      cancelled.add(id, JobRecordCodec.terminalTeam(record), JobRecordCodec.terminalTasks(record));
+      cancelledJobs.add(
+          id, JobRecordCodec.terminalTeam(record), JobRecordCodec.terminalTasks(record));
     }
     Job job = owned.job(id);
     // A cancelled job stays known until its tasks are gone, so its end may be reported repeatedly.
@@ -299,7 +302,7 @@
     }
   }
 
-  private boolean plan() {
+  private boolean runPlanningRound() {
     if (!cluster.sessionLeaseValid()) {
       return false;
     }
@@ -315,6 +318,6 @@
   /** Returns the waiting tasks within the teams' limits, by task equivalence class. */
   public List<DemandClass> demand() {
     quota.recount();
-    return new DemandReport(owned.teams(), loop.nanos()).of(queue.waiting());
+    return new DemandReport(owned.teams(), loop.nanos()).demandOf(queue.waiting());
   }
 }
--- a/src/main/java/org/sandford/job/PendingStarts.java
+++ b/src/main/java/org/sandford/job/PendingStarts.java
@@ -62,7 +62,8 @@
    */
   void releaseUnanswered(String owner, SnapshotUpdate snapshots) {
     Set<Attempt> reported = new HashSet<>();
-    snapshots.machines.forEach(m -> m.tasks.forEach(t -> reported.add(Attempt.of(t))));
+    snapshots.machines.forEach(
+        machine -> machine.tasks.forEach(task -> reported.add(Attempt.of(task))));
     for (Job job : owned.jobs().values()) {
       for (TaskPlacement placement : job.placements()) {
         if (placement.phase() == TaskPhase.REQUESTED
--- a/src/main/java/org/sandford/job/PlacementLedger.java
+++ b/src/main/java/org/sandford/job/PlacementLedger.java
@@ -87,8 +87,8 @@
    * one immediately, so that the task does not wait in between and its gang does not count it as
    * lost.
    */
-  void supersede(TaskPlacement older) {
-    candidates.removePlacement(older);
-    owned.team(older.job.spec.team()).removeTask(older.job);
+  void supersede(TaskPlacement superseded) {
+    candidates.removePlacement(superseded);
+    owned.team(superseded.job.spec.team()).removeTask(superseded.job);
   }
 }
--- a/src/main/java/org/sandford/job/PlanningRound.java
+++ b/src/main/java/org/sandford/job/PlanningRound.java
@@ -17,7 +17,7 @@
  */
 final class PlanningRound {
   /** The result of planning for a job without a feasible placement. */
-  private static final Planner.Plan NO_PLAN = new Planner.Plan(List.of(), 0, 0);
+  private static final Planner.Plan EMPTY_PLAN = new Planner.Plan(List.of(), 0, 0);
 
   private final EventLoop loop;
   private final OwnedJobs owned;
@@ -26,7 +26,7 @@
   private final Preemptor preemptor;
   private final TaskStarter starter;
   private final Planner planner = new Planner();
-  private final UnschedulableClasses unschedulable = new UnschedulableClasses();
+  private final UnschedulableClasses unschedulableClasses = new UnschedulableClasses();
 
   PlanningRound(
       EventLoop loop,
@@ -46,36 +46,36 @@
   /** Plans the jobs in the given order, each within its team's quota. */
   void plan(List<Job> waiting) {
     quota.recount();
-    List<CandidateMachine> usable = candidates.usable();
-    unschedulable.beginRound(candidates.capacityGrowth(), loop.millis());
+    List<CandidateMachine> usableMachines = candidates.usable();
+    unschedulableClasses.beginRound(candidates.capacityGrowthCount(), loop.millis());
     preemptor.beginRound();
     for (Job job : waiting) {
       Team team = owned.team(job.spec.team());
-      int withinLimit = team.tasksWithinLimit(job.spec.cpus(), job.spec.gpus());
-      int count = Math.min(job.tasks.waitingCount(), withinLimit);
-      if (count == 0 || (job.spec.gang() && count < job.tasks.waitingCount())) {
+      int tasksWithinLimit = team.tasksWithinLimit(job.spec.cpus(), job.spec.gpus());
+      int taskCount = Math.min(job.tasks.waitingCount(), tasksWithinLimit);
+      if (taskCount == 0 || (job.spec.gang() && taskCount < job.tasks.waitingCount())) {
         job.setWaitReason(
             new WaitReason.TeamLimitReached(
                 team.name, job.spec.cpus(), team.limits.cpusMax(), job.tasks.waitingCount()));
       } else {
-        plan(team, job, count, usable);
+        planJob(team, job, taskCount, usableMachines);
       }
     }
   }
 
-  private void plan(Team team, Job job, int count, List<CandidateMachine> usable) {
+  private void planJob(Team team, Job job, int taskCount, List<CandidateMachine> usableMachines) {
     double waitedS = (loop.nanos() - job.tasks.waitingSinceNanos()) / TimeConstants.NANOS_PER_S;
     boolean gang = job.spec.gang();
-    boolean whole = gang || startsWhole(job, count, waitedS);
-    Planner.Plan plan = findPlan(job, count, whole, usable);
+    boolean allOrNone = gang || requiresAllTasks(job, taskCount, waitedS);
+    Planner.Plan plan = findPlan(job, taskCount, allOrNone, usableMachines);
     if (plan.tasks() == 0) {
-      job.setWaitReason(insufficientResources(job, whole ? count : 1));
+      job.setWaitReason(insufficientResources(job, allOrNone ? taskCount : 1));
       preemptor.releaseReservation(team, job);
-      preemptor.preempt(team, job, count, usable, whole);
+      preemptor.preempt(team, job, taskCount, usableMachines, allOrNone);
       double reserveAfterS =
           gang ? GangConstants.GANG_RESERVE_AFTER_S : JobConstants.RESERVE_AFTER_S;
-      if (whole && count > 1 && waitedS > reserveAfterS) {
-        preemptor.reserveFreeResources(team, job, count, usable);
+      if (allOrNone && taskCount > 1 && waitedS > reserveAfterS) {
+        preemptor.reserveFreeResources(team, job, taskCount, usableMachines);
       }
     } else if (gang && !preemptor.hasReservation(job)) {
       preemptor.reserve(team, job, plan);
@@ -91,9 +91,9 @@
    * start in parts would starve it. So is a job that waited for longer than {@link
    * JobConstants#PARTIAL_START_AFTER_S}: a small cluster may never have all resources free at once.
    */
-  private static boolean startsWhole(Job job, int count, double waitedS) {
+  private static boolean requiresAllTasks(Job job, int taskCount, double waitedS) {
     return !job.hasStarted()
-        && count == job.tasks.waitingCount()
+        && taskCount == job.tasks.waitingCount()
         && waitedS <= JobConstants.PARTIAL_START_AFTER_S;
   }
 
@@ -106,27 +106,33 @@
   }
 
   /**
-   * Returns a plan for the job's tasks, or {@link #NO_PLAN}. Skips jobs of a class that could not
-   * be placed.
+   * Returns a plan for the job's tasks, or {@link #EMPTY_PLAN}. Skips jobs of a class that could
+   * not be placed.
    */
-  private Planner.Plan findPlan(Job job, int count, boolean whole, List<CandidateMachine> usable) {
-    int required = whole ? count : 1;
-    if (unschedulable.contains(job.equivalenceClass, required)) {
-      return NO_PLAN;
+  private Planner.Plan findPlan(
+      Job job, int taskCount, boolean allOrNone, List<CandidateMachine> usableMachines) {
+    int requiredTasks = allOrNone ? taskCount : 1;
+    if (unschedulableClasses.contains(job.equivalenceClass, requiredTasks)) {
+      return EMPTY_PLAN;
     }
     ResourceRequest request = job.resourceRequest();
-    int bound = Planner.bound(request, required, usable);
-    Planner.Plan plan = bound < required ? null : planner.place(request, count, usable, whole);
+    int maxFittingTasks = Planner.bound(request, requiredTasks, usableMachines);
+    Planner.Plan plan =
+        maxFittingTasks < requiredTasks
+            ? null
+            : planner.place(request, taskCount, usableMachines, allOrNone);
     if (plan != null) {
       return plan;
     }
     if (job.retry.forgetAvoidedMachines()) {
       // No other machine fits, so the machines on which it failed are allowed again.
-      return findPlan(job, count, whole, usable);
+      return findPlan(job, taskCount, allOrNone, usableMachines);
     }
     if (job.placementCount() == 0) {
-      unschedulable.add(job.equivalenceClass, bound < required ? bound + 1 : required);
+      unschedulableClasses.add(
+          job.equivalenceClass,
+          maxFittingTasks < requiredTasks ? maxFittingTasks + 1 : requiredTasks);
     }
-    return NO_PLAN;
+    return EMPTY_PLAN;
   }
 }
--- a/src/main/java/org/sandford/job/PlanningTimer.java
+++ b/src/main/java/org/sandford/job/PlanningTimer.java
@@ -13,39 +13,39 @@
   private static final double NANOS_PER_MS = 1e6;
 
   private final EventLoop loop;
-  private final BooleanSupplier round;
-  private boolean requested;
+  private final BooleanSupplier planRound;
+  private boolean roundRequested;
   private long lastRoundAtMs;
   private long intervalMs = JobConstants.PLAN_INTERVAL_MS;
 
   /**
-   * @param round plans once; returns false if it could not, and its duration is ignored
+   * @param planRound plans once; returns false if it could not, and its duration is ignored
    */
-  PlanningTimer(EventLoop loop, BooleanSupplier round) {
+  PlanningTimer(EventLoop loop, BooleanSupplier planRound) {
     this.loop = loop;
-    this.round = round;
+    this.planRound = planRound;
   }
 
   /** Requests a round after a change that may let a task start, unless one is requested already. */
   void requestRound() {
-    if (requested) {
+    if (roundRequested) {
       return;
     }
-    requested = true;
+    roundRequested = true;
     long sinceLastMs = loop.millis() - lastRoundAtMs;
-    loop.after(Math.max(1, intervalMs - sinceLastMs), this::run);
+    loop.after(Math.max(1, intervalMs - sinceLastMs), this::runRound);
   }
 
-  private void run() {
-    requested = false;
-    long beganAtNanos = loop.nanos();
+  private void runRound() {
+    roundRequested = false;
+    long startedAtNanos = loop.nanos();
     lastRoundAtMs = loop.millis();
-    if (!round.getAsBoolean()) {
+    if (!planRound.getAsBoolean()) {
       return;
     }
     // Long rounds under overload must leave the event loop time for heartbeats and user requests.
-    double spentMs = (loop.nanos() - beganAtNanos) / NANOS_PER_MS;
+    double durationMs = (loop.nanos() - startedAtNanos) / NANOS_PER_MS;
     intervalMs =
-        Math.max(JobConstants.PLAN_INTERVAL_MS, (long) (spentMs / JobConstants.PLAN_TIME_SHARE));
+        Math.max(JobConstants.PLAN_INTERVAL_MS, (long) (durationMs / JobConstants.PLAN_TIME_SHARE));
   }
 }
--- a/src/main/java/org/sandford/job/PreemptibleTasks.java
+++ b/src/main/java/org/sandford/job/PreemptibleTasks.java
@@ -26,18 +26,18 @@
  * Production tasks are exempt from the second rule. Used on the event loop.
  */
 final class PreemptibleTasks {
-  private final List<Victim> running = new ArrayList<>();
+  private final List<Victim> activeTasks = new ArrayList<>();
 
   /** CPUs that each team uses beyond its guarantee; negative below it. */
-  private final Map<String, Double> beyondGuarantee = new HashMap<>();
+  private final Map<String, Double> cpusBeyondGuarantee = new HashMap<>();
 
-  private final Map<String, List<Victim>> gangs = new HashMap<>();
+  private final Map<String, List<Victim>> gangTasks = new HashMap<>();
 
   /** Scans the snapshots of all machines, in time linear in the number of tasks. */
-  PreemptibleTasks(MachineSnapshots machineSnapshots, Settings.Facts facts, long now) {
+  PreemptibleTasks(MachineSnapshots machineSnapshots, Settings.Facts facts, long nowNanos) {
     for (MachineSnapshots.ReceivedSnapshot received : machineSnapshots.all()) {
       if (machineSnapshots.isFromOwner(received) && received.snapshot().state == MachineState.UP) {
-        received.snapshot().tasks.forEach(task -> add(received, task, now));
+        received.snapshot().tasks.forEach(task -> add(received, task, nowNanos));
       }
     }
     findGangs();
@@ -45,7 +45,7 @@
         .teams()
         .forEach(
             (name, limits) ->
-                beyondGuarantee.computeIfPresent(name, (n, used) -> used - limits.cpus()));
+                cpusBeyondGuarantee.computeIfPresent(name, (n, used) -> used - limits.cpus()));
   }
 
   /**
@@ -53,41 +53,41 @@
    * controllers are found as well. Few tasks are in gangs; the others cost one sorted array entry.
    */
   private void findGangs() {
-    long[] attempts = running.stream().mapToLong(Victim::attempt).sorted().toArray();
-    Set<Long> shared = new HashSet<>();
+    long[] attempts = activeTasks.stream().mapToLong(Victim::attempt).sorted().toArray();
+    Set<Long> sharedAttempts = new HashSet<>();
     for (int i = 1; i < attempts.length; i++) {
       if (attempts[i] == attempts[i - 1]) {
-        shared.add(attempts[i]);
+        sharedAttempts.add(attempts[i]);
       }
     }
-    if (shared.isEmpty()) {
+    if (sharedAttempts.isEmpty()) {
       return;
     }
-    for (Victim victim : running) {
-      if (shared.contains(victim.attempt())) {
-        gangs.computeIfAbsent(gangName(victim), name -> new ArrayList<>()).add(victim);
+    for (Victim victim : activeTasks) {
+      if (sharedAttempts.contains(victim.attempt())) {
+        gangTasks.computeIfAbsent(gangKey(victim), name -> new ArrayList<>()).add(victim);
       }
     }
-    gangs.values().removeIf(tasks -> tasks.size() < 2);
-    running.replaceAll(
+    gangTasks.values().removeIf(tasks -> tasks.size() < 2);
+    activeTasks.replaceAll(
         victim -> {
           List<Victim> gang =
-              shared.contains(victim.attempt()) ? gangs.get(gangName(victim)) : null;
-          return gang == null ? victim : victim.inGang(gangName(victim), gangLoss(gang));
+              sharedAttempts.contains(victim.attempt()) ? gangTasks.get(gangKey(victim)) : null;
+          return gang == null ? victim : victim.inGang(gangKey(victim), gangLossCpuS(gang));
         });
   }
 
-  private static String gangName(Victim victim) {
+  private static String gangKey(Victim victim) {
     return victim.job() + "@" + victim.attempt();
   }
 
-  private void add(MachineSnapshots.ReceivedSnapshot received, TaskSnapshot task, long now) {
+  private void add(MachineSnapshots.ReceivedSnapshot received, TaskSnapshot task, long nowNanos) {
     if (!task.described || task.state == TaskState.EXITED) {
       return;
     }
     // Snapshots are sent only on changes, so the time since the snapshot is added to the age.
-    double ageS = task.ageS + (now - received.at()) / TimeConstants.NANOS_PER_S;
-    running.add(
+    double ageS = task.ageS + (nowNanos - received.at()) / TimeConstants.NANOS_PER_S;
+    activeTasks.add(
         new Victim(
             received.snapshot().machine,
             task.team,
@@ -99,30 +99,30 @@
             task.gpus,
             task.ram,
             task.cpus * ageS));
-    beyondGuarantee.merge(task.team, task.cpus, Double::sum);
+    cpusBeyondGuarantee.merge(task.team, task.cpus, Double::sum);
   }
 
   /**
    * Returns the CPU seconds lost with the gang. Its age counts only while it has just started,
    * since its start would be wasted then; later it saves a checkpoint before it stops.
    */
-  private static double gangLoss(List<Victim> gang) {
+  private static double gangLossCpuS(List<Victim> gang) {
     double cpus = gang.stream().mapToDouble(Victim::cpus).sum();
     double cpuSeconds = gang.stream().mapToDouble(Victim::lossCpuS).sum();
-    boolean young = cpuSeconds < cpus * GangConstants.GANG_SETTLED_S;
-    return cpus * GangConstants.GANG_SETTLED_S * (young ? 2 : 1);
+    boolean justStarted = cpuSeconds < cpus * GangConstants.GANG_SETTLED_S;
+    return cpus * GangConstants.GANG_SETTLED_S * (justStarted ? 2 : 1);
   }
 
   /** Returns the tasks that stop together with this one. */
   private List<Victim> preemptedTogether(Victim victim) {
-    return gangs.getOrDefault(victim.gang(), List.of(victim));
+    return gangTasks.getOrDefault(victim.gang(), List.of(victim));
   }
 
   /** Returns the tasks that may be preempted for the job and for which no preemption is pending. */
-  List<Victim> victims(Team team, Job job, Predicate<Attempt> preempted) {
+  List<Victim> victimsFor(Team team, Job job, Predicate<Attempt> preemptionRequested) {
     PreemptingJob preemptingJob = new PreemptingJob(team, job);
-    return running.stream()
-        .filter(victim -> !preempted.test(attemptOf(victim)))
+    return activeTasks.stream()
+        .filter(victim -> !preemptionRequested.test(attemptOf(victim)))
         .filter(preemptingJob::mayPreempt)
         .toList();
   }
@@ -133,7 +133,7 @@
     private final int rank;
     private final boolean guaranteed;
     private final boolean wasPreempted;
-    private final Map<String, Double> borrowed = new HashMap<>(beyondGuarantee);
+    private final Map<String, Double> unclaimedBorrowedCpus = new HashMap<>(cpusBeyondGuarantee);
 
     PreemptingJob(Team team, Job job) {
       this.team = team;
@@ -167,11 +167,11 @@
     }
 
     private boolean claimBorrowed(Victim victim) {
-      double left = borrowed.getOrDefault(victim.team(), 0.0);
-      if (left < victim.cpus()) {
+      double remaining = unclaimedBorrowedCpus.getOrDefault(victim.team(), 0.0);
+      if (remaining < victim.cpus()) {
         return false;
       }
-      borrowed.put(victim.team(), left - victim.cpus());
+      unclaimedBorrowedCpus.put(victim.team(), remaining - victim.cpus());
       return true;
     }
   }
@@ -179,10 +179,10 @@
   /** Returns the tasks to stop for these evictions by machine; a gang always as a whole. */
   Map<String, List<Victim>> victimsByMachine(List<Eviction> evictions) {
     Map<String, List<Victim>> byMachine = new TreeMap<>();
-    Set<String> received = new HashSet<>();
+    Set<String> addedGangs = new HashSet<>();
     for (Eviction eviction : evictions) {
       for (Victim victim : eviction.victims()) {
-        if (victim.gang().isEmpty() || received.add(victim.gang())) {
+        if (victim.gang().isEmpty() || addedGangs.add(victim.gang())) {
           preemptedTogether(victim)
               .forEach(v -> byMachine.computeIfAbsent(v.machine(), m -> new ArrayList<>()).add(v));
         }
--- a/src/main/java/org/sandford/job/Preemptor.java
+++ b/src/main/java/org/sandford/job/Preemptor.java
@@ -29,14 +29,14 @@
   private final Planner planner;
 
   /** The time of each recently requested preemption by attempt, in milliseconds. */
-  private final Map<Attempt, Long> preemptedAtMs = new HashMap<>();
+  private final Map<Attempt, Long> preemptionRequestedAtMs = new HashMap<>();
 
   /** The tasks on all machines; null until a job of the round needs them. */
-  private PreemptibleTasks tasks;
+  private PreemptibleTasks preemptibleTasks;
 
-  private boolean mayPreempt;
-  private int searches;
-  private long roundAtMs;
+  private boolean scanAllowed;
+  private int searchCount;
+  private long roundStartedAtMs;
   private long nextScanAtMs;
   private long nextReservationAtMs;
 
@@ -58,72 +58,77 @@
    * needs the scan.
    */
   void beginRound() {
-    roundAtMs = loop.millis();
-    mayPreempt = roundAtMs >= nextScanAtMs;
-    searches = 0;
-    tasks = null;
+    roundStartedAtMs = loop.millis();
+    scanAllowed = roundStartedAtMs >= nextScanAtMs;
+    searchCount = 0;
+    preemptibleTasks = null;
   }
 
   /**
    * Preempts tasks of other jobs if that completes the job's plan, or, unless all tasks must start
    * together, a part of it.
    */
-  void preempt(Team team, Job job, int count, List<CandidateMachine> usable, boolean whole) {
-    if (!mayPreempt
+  void preempt(
+      Team team, Job job, int taskCount, List<CandidateMachine> usableMachines, boolean allOrNone) {
+    if (!scanAllowed
         || !job.mayPreempt(loop.millis())
-        || searches >= JobConstants.MAX_PREEMPTION_SEARCHES) {
+        || searchCount >= JobConstants.MAX_PREEMPTION_SEARCHES) {
       return;
     }
-    List<Preemption.Victim> victims = tasks().victims(team, job, preemptedAtMs::containsKey);
+    List<Preemption.Victim> victims =
+        preemptibleTasks().victimsFor(team, job, preemptionRequestedAtMs::containsKey);
     if (victims.isEmpty()) {
       return;
     }
-    searches++;
+    searchCount++;
     job.preemptionRequested(loop.millis());
     List<Preemption.Eviction> evictions =
-        Preemption.choose(job.resourceRequest(), count, usable, victims, whole);
+        Preemption.choose(job.resourceRequest(), taskCount, usableMachines, victims, allOrNone);
     if (evictions != null) {
-      evict(team, job, evictions);
+      requestEvictions(team, job, evictions);
     }
   }
 
-  private PreemptibleTasks tasks() {
-    if (tasks == null) {
-      nextScanAtMs = roundAtMs + JobConstants.PREEMPTION_SCAN_MS;
-      preemptedAtMs.values().removeIf(at -> loop.millis() - at > JobConstants.RESERVATION_MS);
-      tasks = new PreemptibleTasks(machineSnapshots, settings.facts(), loop.nanos());
+  private PreemptibleTasks preemptibleTasks() {
+    if (preemptibleTasks == null) {
+      nextScanAtMs = roundStartedAtMs + JobConstants.PREEMPTION_SCAN_MS;
+      preemptionRequestedAtMs
+          .values()
+          .removeIf(at -> loop.millis() - at > JobConstants.RESERVATION_MS);
+      preemptibleTasks = new PreemptibleTasks(machineSnapshots, settings.facts(), loop.nanos());
     }
-    return tasks;
+    return preemptibleTasks;
   }
 
-  private void evict(Team team, Job job, List<Preemption.Eviction> evictions) {
-    Map<String, List<Preemption.Victim>> victimsByMachine = tasks.victimsByMachine(evictions);
+  private void requestEvictions(Team team, Job job, List<Preemption.Eviction> evictions) {
+    Map<String, List<Preemption.Victim>> victimsByMachine =
+        preemptibleTasks.victimsByMachine(evictions);
     for (Preemption.Eviction eviction : evictions) {
       CandidateMachine candidate = eviction.candidate();
-      allocate(candidate, job, eviction.tasks());
-      List<Preemption.Victim> victimsThere = victimsByMachine.remove(candidate.machine);
-      request(
+      deductResources(candidate, job, eviction.tasks());
+      List<Preemption.Victim> victimsOnMachine = victimsByMachine.remove(candidate.machine);
+      sendPreemptRequest(
           team,
           job,
           candidate.owner,
           candidate.machine,
           eviction.tasks(),
-          victimsThere == null ? List.of() : victimsThere);
+          victimsOnMachine == null ? List.of() : victimsOnMachine);
     }
     // The remaining victims belong to gangs that lose a task on another machine. The whole gang is
     // stopped, since it can save a checkpoint only as a whole.
     victimsByMachine.forEach(
-        (machine, victimsThere) -> {
-          MachineSnapshots.ReceivedSnapshot seen = machineSnapshots.get(machine);
-          if (seen != null) {
-            request(team, job, seen.owner(), machine, 0, victimsThere);
+        (machine, victimsOnMachine) -> {
+          MachineSnapshots.ReceivedSnapshot received = machineSnapshots.get(machine);
+          if (received != null) {
+            sendPreemptRequest(team, job, received.owner(), machine, 0, victimsOnMachine);
           }
         });
   }
 
-  private static void allocate(CandidateMachine candidate, Job job, int count) {
+  private static void deductResources(CandidateMachine candidate, Job job, int taskCount) {
     JobSpec spec = job.spec;
-    candidate.take(count * spec.cpus(), count * spec.gpus(), count * spec.ram());
+    candidate.take(taskCount * spec.cpus(), taskCount * spec.gpus(), taskCount * spec.ram());
   }
 
   /**
@@ -131,12 +136,13 @@
    * small jobs would take all that becomes free, and a large one would never start. Reserves for
    * one job at a time, the first of the queue, whose order is the same on all controllers.
    */
-  void reserveFreeResources(Team team, Job job, int count, List<CandidateMachine> usable) {
-    if (roundAtMs < nextReservationAtMs) {
+  void reserveFreeResources(
+      Team team, Job job, int taskCount, List<CandidateMachine> usableMachines) {
+    if (roundStartedAtMs < nextReservationAtMs) {
       return;
     }
-    nextReservationAtMs = roundAtMs + JobConstants.RESERVE_INTERVAL_MS;
-    Planner.Plan plan = planner.place(job.resourceRequest(), count, usable, false);
+    nextReservationAtMs = roundStartedAtMs + JobConstants.RESERVE_INTERVAL_MS;
+    Planner.Plan plan = planner.place(job.resourceRequest(), taskCount, usableMachines, false);
     if (plan != null) {
       plan.slots().forEach(slot -> requestReservation(team, job, slot));
     }
@@ -158,7 +164,8 @@
   }
 
   private void requestReservation(Team team, Job job, Planner.Slot slot) {
-    request(team, job, slot.candidate().owner, slot.candidate().machine, slot.tasks(), List.of());
+    sendPreemptRequest(
+        team, job, slot.candidate().owner, slot.candidate().machine, slot.tasks(), List.of());
   }
 
   /** Returns whether the gang's reservation stays valid for long enough to start the gang. */
@@ -168,28 +175,30 @@
 
   /** Releases the gang's reservations on machines that the plan does not use. */
   void releaseUnused(Team team, Job gang, Planner.Plan plan) {
-    plan.slots().forEach(slot -> gang.reservation.use(slot.candidate().machine));
+    plan.slots().forEach(slot -> gang.reservation.markUsed(slot.candidate().machine));
     releaseReservation(team, gang);
   }
 
   /** Releases all reservations of the gang immediately. */
   void releaseReservation(Team team, Job gang) {
-    gang.reservation.release((machine, owner) -> request(team, gang, owner, machine, 0, List.of()));
+    gang.reservation.releaseAll(
+        (machine, owner) -> sendPreemptRequest(team, gang, owner, machine, 0, List.of()));
   }
 
   /**
-   * Asks the machine's owner to preempt the victims and to reserve resources for {@code count}
+   * Asks the machine's owner to preempt the victims and to reserve resources for {@code taskCount}
    * tasks of the job. A count of 0 releases the job's reservation.
    */
-  private void request(
+  private void sendPreemptRequest(
       Team team,
       Job job,
       String owner,
       String machine,
-      int count,
+      int taskCount,
       List<Preemption.Victim> victims) {
     JobSpec spec = job.spec;
-    victims.forEach(victim -> preemptedAtMs.put(PreemptibleTasks.attemptOf(victim), loop.millis()));
+    victims.forEach(
+        victim -> preemptionRequestedAtMs.put(PreemptibleTasks.attemptOf(victim), loop.millis()));
     links.request(
         owner,
         new Preempt(
@@ -198,9 +207,9 @@
             spec.id(),
             spec.rank().number(),
             job.acceptedAt,
-            count * spec.cpus(),
-            count * spec.gpus(),
-            count * spec.ram(),
+            taskCount * spec.cpus(),
+            taskCount * spec.gpus(),
+            taskCount * spec.ram(),
             victims.stream().map(v -> new Victim(v.job(), v.task(), v.attempt())).toList(),
             JobConstants.PREEMPTION_GRACE_S));
   }
--- a/src/main/java/org/sandford/job/QuotaUse.java
+++ b/src/main/java/org/sandford/job/QuotaUse.java
@@ -7,22 +7,22 @@
  */
 final class QuotaUse {
   private final OwnedJobs owned;
-  private final UntrackedTasks untracked;
-  private final CancelledJobs cancelled;
+  private final UntrackedTasks untrackedTasks;
+  private final CancelledJobs cancelledJobs;
 
-  QuotaUse(OwnedJobs owned, UntrackedTasks untracked, CancelledJobs cancelled) {
+  QuotaUse(OwnedJobs owned, UntrackedTasks untrackedTasks, CancelledJobs cancelledJobs) {
     this.owned = owned;
-    this.untracked = untracked;
-    this.cancelled = cancelled;
+    this.untrackedTasks = untrackedTasks;
+    this.cancelledJobs = cancelledJobs;
   }
 
   /** Recounts the use of all teams. Later placements adjust the counts. */
   void recount() {
     owned.teams().values().forEach(Team::recountUse);
-    untracked.addTo(owned.teams());
+    untrackedTasks.addUseTo(owned.teams());
     for (Team team : owned.teams().values()) {
       if (team.phase() != Team.Phase.READY) {
-        team.setCancelledBound(cancelled.maxHeldBy(team.name));
+        team.setCancelledBound(cancelledJobs.maxHeldBy(team.name));
       }
     }
   }
--- a/src/main/java/org/sandford/job/Resources.java
+++ b/src/main/java/org/sandford/job/Resources.java
@@ -22,12 +22,12 @@
         : new Resources(instanceType.cpus(), instanceType.gpus());
   }
 
-  Resources plus(Resources more) {
-    return new Resources(cpus + more.cpus, gpus + more.gpus);
+  Resources plus(Resources other) {
+    return new Resources(cpus + other.cpus, gpus + other.gpus);
   }
 
-  Resources times(int number) {
-    return new Resources(cpus * number, gpus * number);
+  Resources times(int factor) {
+    return new Resources(cpus * factor, gpus * factor);
   }
 
   /** Returns the smaller value of each resource. */
@@ -36,7 +36,7 @@
   }
 
   /** Returns the difference, but never less than zero of each resource. */
-  Resources minus(Resources less) {
-    return new Resources(Math.max(0, cpus - less.cpus), Math.max(0, gpus - less.gpus));
+  Resources minus(Resources other) {
+    return new Resources(Math.max(0, cpus - other.cpus), Math.max(0, gpus - other.gpus));
   }
 }
--- a/src/main/java/org/sandford/job/SchedulingQueue.java
+++ b/src/main/java/org/sandford/job/SchedulingQueue.java
@@ -9,9 +9,9 @@
 final class SchedulingQueue {
   private final EventLoop loop;
   private final OwnedJobs owned;
-  private final Comparator<Job> order =
+  private final Comparator<Job> planningOrder =
       Comparator.comparing((Job job) -> job.spec.rank())
-          .thenComparing(this::yieldsToUnstarted)
+          .thenComparing(this::yieldsToUnstartedJobs)
           .thenComparingLong(job -> job.acceptedAt)
           .thenComparing(job -> job.spec.id());
 
@@ -29,7 +29,7 @@
         waiting.add(job);
       }
     }
-    waiting.sort(order);
+    waiting.sort(planningOrder);
     return waiting;
   }
 
@@ -43,7 +43,7 @@
    * Returns whether the job is opportunistic and has placements. Such jobs are planned after those
    * without any: by arrival alone, a job of one task would wait behind an array of thousands.
    */
-  private boolean yieldsToUnstarted(Job job) {
+  private boolean yieldsToUnstartedJobs(Job job) {
     return job.placementCount() > 0 && owned.team(job.spec.team()).isOpportunistic(job.spec);
   }
 }
--- a/src/main/java/org/sandford/job/ServiceConsolidation.java
+++ b/src/main/java/org/sandford/job/ServiceConsolidation.java
@@ -52,13 +52,13 @@
       return;
     }
     nextMoveAtMs = nowMs + JobConstants.PLAN_IDLE_MS;
-    List<TaskPlacement> movable = replicasOnDrainingMachines();
-    if (movable.isEmpty()) {
+    List<TaskPlacement> movableReplicas = replicasOnDrainingMachines();
+    if (movableReplicas.isEmpty()) {
       return;
     }
-    List<CandidateMachine> usable = candidates.usable();
-    for (TaskPlacement replica : movable) {
-      if (fitsOnMachineWithImage(replica, usable)) {
+    List<CandidateMachine> usableMachines = candidates.usable();
+    for (TaskPlacement replica : movableReplicas) {
+      if (fitsOnMachineWithImage(replica, usableMachines)) {
         log.info(
             "replica moved off draining machine job={} task={} machine={}",
             replica.job.spec.id(),
@@ -72,40 +72,41 @@
   }
 
   private List<TaskPlacement> replicasOnDrainingMachines() {
-    List<TaskPlacement> movable = new ArrayList<>();
+    List<TaskPlacement> movableReplicas = new ArrayList<>();
     for (ReceivedSnapshot received : machineSnapshots.all()) {
       MachineSnapshot snapshot = received.snapshot();
       if (snapshot.draining
           && snapshot.state == MachineState.UP
           && machineSnapshots.isFromOwner(received)) {
-        addMovable(snapshot, movable);
+        addMovableReplicas(snapshot, movableReplicas);
       }
     }
-    return movable;
+    return movableReplicas;
   }
 
-  private void addMovable(MachineSnapshot snapshot, List<TaskPlacement> movable) {
+  private void addMovableReplicas(MachineSnapshot snapshot, List<TaskPlacement> movableReplicas) {
     for (TaskSnapshot task : snapshot.tasks) {
       Job job = owned.job(task.job);
       TaskPlacement placement = job == null ? null : job.placementOf(task.task);
-      if (placement != null && placement.attempt == task.attempt && runsWhole(job)) {
-        movable.add(placement);
+      if (placement != null && placement.attempt == task.attempt && isFullyRunningService(job)) {
+        movableReplicas.add(placement);
       }
     }
   }
 
   /** Returns whether the job is a service of which every replica runs. */
-  private static boolean runsWhole(Job job) {
+  private static boolean isFullyRunningService(Job job) {
     return job.spec.service()
         && job.phase() == Job.Phase.OPEN
         && job.tasks.waitingCount() == 0
         && job.running() == job.spec.tasks();
   }
 
-  private boolean fitsOnMachineWithImage(TaskPlacement replica, List<CandidateMachine> usable) {
+  private boolean fitsOnMachineWithImage(
+      TaskPlacement replica, List<CandidateMachine> usableMachines) {
     String image = replica.job.spec.image();
     List<CandidateMachine> withImage =
-        usable.stream().filter(candidate -> candidate.images.contains(image)).toList();
+        usableMachines.stream().filter(candidate -> candidate.images.contains(image)).toList();
     return planner.place(replica.job.resourceRequestWithout(replica), 1, withImage, true) != null;
   }
 }
--- a/src/main/java/org/sandford/job/TaskPlacements.java
+++ b/src/main/java/org/sandford/job/TaskPlacements.java
@@ -57,9 +57,9 @@
 
   /** Records the placement, which replaces a previous one of its task. */
   void put(TaskPlacement placement) {
-    TaskPlacement former = byTask.put(placement.task, placement);
-    if (former != null) {
-      uncount(former);
+    TaskPlacement previous = byTask.put(placement.task, placement);
+    if (previous != null) {
+      removeFromCounts(previous);
     }
     countByZone.add(placement.zone);
     countByMachine.add(placement.machine);
@@ -71,11 +71,11 @@
     if (!byTask.remove(placement.task, placement)) {
       return false;
     }
-    uncount(placement);
+    removeFromCounts(placement);
     return true;
   }
 
-  private void uncount(TaskPlacement placement) {
+  private void removeFromCounts(TaskPlacement placement) {
     countByZone.remove(placement.zone);
     countByMachine.remove(placement.machine);
     running -= placement.isRunning() ? 1 : 0;
--- a/src/main/java/org/sandford/job/TaskReconciler.java
+++ b/src/main/java/org/sandford/job/TaskReconciler.java
@@ -47,7 +47,7 @@
   }
 
   /** Reconciles all tasks of the snapshot and all placements that are missing from it. */
-  void reconcile(String from, MachineSnapshot snapshot) {
+  void reconcile(String publisher, MachineSnapshot snapshot) {
     if (!isAuthoritative(snapshot)) {
       return;
     }
@@ -56,7 +56,7 @@
       reported.add(Attempt.of(task));
       Job job = owned.job(task.job);
       if (job != null) {
-        reconcileTask(from, snapshot, job, task);
+        reconcileTask(publisher, snapshot, job, task);
       }
     }
     for (TaskPlacement placement : ledger.placementsOn(snapshot.machine)) {
@@ -72,16 +72,18 @@
    * skipped: a start that was accepted after a stored snapshot appears only in the next one, and
    * its task must not be released as lost.
    *
-   * @param received all stored snapshots; not modified during the call
-   * @param jobs ids of the jobs that became known
+   * @param storedSnapshots all stored snapshots; not modified during the call
+   * @param jobIds ids of the jobs that became known
    */
-  void adoptTasks(Collection<ReceivedSnapshot> received, Set<String> jobs) {
-    for (ReceivedSnapshot each : received) {
-      MachineSnapshot snapshot = each.snapshot();
+  void adoptTasks(Collection<ReceivedSnapshot> storedSnapshots, Set<String> jobIds) {
+    for (ReceivedSnapshot receivedSnapshot : storedSnapshots) {
+      MachineSnapshot snapshot = receivedSnapshot.snapshot();
       if (isAuthoritative(snapshot)) {
         snapshot.tasks.stream()
-            .filter(task -> jobs.contains(task.job) && owned.knows(task.job))
-            .forEach(task -> reconcileTask(each.owner(), snapshot, owned.job(task.job), task));
+            .filter(task -> jobIds.contains(task.job) && owned.knows(task.job))
+            .forEach(
+                task ->
+                    reconcileTask(receivedSnapshot.owner(), snapshot, owned.job(task.job), task));
       }
     }
   }
@@ -100,37 +102,40 @@
    * answer comes, unless a newer owner reconciled the machine.
    */
   private void reconcileMissing(MachineSnapshot snapshot, TaskPlacement placement) {
-    boolean startPending = placement.phase() == TaskPhase.REQUESTED;
+    boolean isStartPending = placement.phase() == TaskPhase.REQUESTED;
     boolean ofNewerOwner = snapshot.generation > placement.machineGeneration;
     boolean ofSameOwner = snapshot.generation == placement.machineGeneration;
-    if (startPending && ofNewerOwner) {
+    if (isStartPending && ofNewerOwner) {
       ledger.release(placement);
-    } else if (!startPending && (ofNewerOwner || ofSameOwner)) {
+    } else if (!isStartPending && (ofNewerOwner || ofSameOwner)) {
       ledger.releaseLost(placement, PlacementLedger.LossCause.NOT_ON_MACHINE);
     }
   }
 
-  private void reconcileTask(String from, MachineSnapshot snapshot, Job job, TaskSnapshot task) {
+  private void reconcileTask(
+      String publisher, MachineSnapshot snapshot, Job job, TaskSnapshot task) {
     TaskPlacement placement = job.placementOf(task.task);
-    boolean known = placement != null && placement.attempt == task.attempt;
+    boolean isCurrentAttempt = placement != null && placement.attempt == task.attempt;
     if (task.state == TaskState.EXITED) {
-      if (known) {
+      if (isCurrentAttempt) {
         exits.placementExited(placement, snapshot, task);
       } else {
         exits.unplacedAttemptExited(job, snapshot, task);
       }
       return;
     }
-    if (job.tasks.isDone(task.task) && !known) {
+    if (job.tasks.isDone(task.task) && !isCurrentAttempt) {
       commands.stopAttempt(job, snapshot.machine, task.task, task.attempt);
       return;
     }
-    if (placement != null && !known && !startedByLaterOwner(job, task, placement)) {
+    if (placement != null
+        && !isCurrentAttempt
+        && !isLaterAttemptOfFormerOwner(job, task, placement)) {
       stopDuplicate(snapshot, job, task, placement);
       return;
     }
-    if (!known) {
-      placement = adopt(from, snapshot, job, task);
+    if (!isCurrentAttempt) {
+      placement = adopt(publisher, snapshot, job, task);
     }
     updatePhase(placement, snapshot, task);
     stopIfRequired(placement, snapshot);
@@ -140,13 +145,13 @@
   private void updatePhase(TaskPlacement placement, MachineSnapshot snapshot, TaskSnapshot task) {
     if (task.state == TaskState.RUNNING) {
       placement.transitionTo(TaskPhase.RUNNING);
-      taskRuns(placement.job, snapshot);
+      handleRunning(placement.job, snapshot);
     } else if (placement.phase() == TaskPhase.REQUESTED) {
       placement.transitionTo(TaskPhase.PLACED);
     }
   }
 
-  private void taskRuns(Job job, MachineSnapshot snapshot) {
+  private void handleRunning(Job job, MachineSnapshot snapshot) {
     job.retry.resetBackoff();
     if (job.becameFullyRunning()) {
       log.debug(
@@ -168,7 +173,7 @@
         && placement.phase() == TaskPhase.RUNNING) {
       int graceS = (int) Math.ceil(job.spec.checkpointCostS());
       if (job.spec.gang()) {
-        gangs.stopOrderly(job, graceS);
+        gangs.stopGracefully(job, graceS);
       } else {
         commands.stop(placement, graceS);
       }
@@ -181,15 +186,15 @@
    * owner starts a task again only after the previous attempt ended, so the later attempt is the
    * live one.
    */
-  private boolean startedByLaterOwner(Job job, TaskSnapshot task, TaskPlacement known) {
+  private boolean isLaterAttemptOfFormerOwner(Job job, TaskSnapshot task, TaskPlacement current) {
     long generation = owned.team(job.spec.team()).generation;
     boolean ofFormerOwner = Team.generationOf(task.attempt) < generation;
-    return ofFormerOwner && task.attempt > known.attempt;
+    return ofFormerOwner && task.attempt > current.attempt;
   }
 
   /** Stops an attempt of a task whose placement is another attempt. */
   private void stopDuplicate(
-      MachineSnapshot snapshot, Job job, TaskSnapshot task, TaskPlacement known) {
+      MachineSnapshot snapshot, Job job, TaskSnapshot task, TaskPlacement current) {
     if (!cluster.sessionLeaseValid()) {
       // The team may have a new owner by now that started this attempt.
       return;
@@ -201,15 +206,16 @@
         task.task,
         snapshot.machine,
         task.attempt,
-        known.attempt,
-        known.machine);
+        current.attempt,
+        current.machine);
     commands.stopAttempt(job, snapshot.machine, task.task, task.attempt);
   }
 
   /** Records an attempt of a former owner, which replaces an older one if there is any. */
-  private TaskPlacement adopt(String from, MachineSnapshot snapshot, Job job, TaskSnapshot task) {
-    TaskPlacement older = job.placementOf(task.task);
-    if (older != null) {
+  private TaskPlacement adopt(
+      String publisher, MachineSnapshot snapshot, Job job, TaskSnapshot task) {
+    TaskPlacement superseded = job.placementOf(task.task);
+    if (superseded != null) {
       log.info(
           "later attempt adopted job={} task={} machine={} attempt={} known_attempt={}"
               + " known_machine={}",
@@ -217,23 +223,23 @@
           task.task,
           snapshot.machine,
           task.attempt,
-          older.attempt,
-          older.machine);
-      commands.stop(older, 0);
-      ledger.supersede(older);
+          superseded.attempt,
+          superseded.machine);
+      commands.stop(superseded, 0);
+      ledger.supersede(superseded);
     }
-    TaskPlacement found =
+    TaskPlacement adopted =
         new TaskPlacement(
             job,
             task.task,
             task.attempt,
             snapshot.machine,
             snapshot.generation,
-            from,
-            commands.linkEpoch(from),
+            publisher,
+            commands.linkEpoch(publisher),
             snapshot.zone,
             TaskPhase.PLACED);
-    ledger.record(found);
-    return found;
+    ledger.record(adopted);
+    return adopted;
   }
 }
--- a/src/main/java/org/sandford/job/TaskStarter.java
+++ b/src/main/java/org/sandford/job/TaskStarter.java
@@ -35,7 +35,7 @@
     List<TaskPlacement> unsent = new ArrayList<>();
     boolean gang = job.spec.gang();
     long gangAttempt = gang ? team.nextAttempt() : 0;
-    int next = 0;
+    int nextIndex = 0;
     job.setWaitReason(WaitReason.NONE);
     for (Planner.Slot slot : plan.slots()) {
       long generation = cluster.machines().of().get(slot.candidate().machine).generation();
@@ -44,7 +44,7 @@
         TaskPlacement placement =
             new TaskPlacement(
                 job,
-                tasks.get(next++),
+                tasks.get(nextIndex++),
                 attempt,
                 slot.candidate().machine,
                 generation,
@@ -52,18 +52,18 @@
                 commands.linkEpoch(slot.candidate().owner),
                 slot.candidate().zone,
                 TaskPhase.REQUESTED);
-        if (!start(team, placement)) {
+        if (!recordAndRequestStart(team, placement)) {
           unsent.add(placement);
         }
       }
     }
     if (gang) {
-      gangs.started(job);
+      gangs.startsRequested(job);
     }
     unsent.forEach(ledger::release);
   }
 
-  private boolean start(Team team, TaskPlacement placement) {
+  private boolean recordAndRequestStart(Team team, TaskPlacement placement) {
     ledger.record(placement);
     audit.startRequested(
         placement.job.spec.id(),
--- a/src/main/java/org/sandford/job/UnreportedMachines.java
+++ b/src/main/java/org/sandford/job/UnreportedMachines.java
@@ -11,13 +11,13 @@
  * the former owner that are unknown here, up to their capacity. Used on the event loop.
  */
 final class UnreportedMachines {
-  private final Function<String, Resources> capacities;
-  private final Map<String, Resources> machines = new HashMap<>();
+  private final Function<String, Resources> capacityOf;
+  private final Map<String, Resources> capacityByMachine = new HashMap<>();
 
   /** The number of machines of unknown capacity. */
-  private int unbounded;
+  private int unboundedCount;
 
-  private Resources bounded = Resources.ZERO;
+  private Resources boundedCapacity = Resources.ZERO;
 
   /** Whether the machines of the assignment map were added. */
   private final boolean listed;
@@ -27,14 +27,14 @@
     return new UnreportedMachines(machine -> Resources.UNBOUNDED, false);
   }
 
-  private UnreportedMachines(Function<String, Resources> capacities, boolean listed) {
-    this.capacities = capacities;
+  private UnreportedMachines(Function<String, Resources> capacityOf, boolean listed) {
+    this.capacityOf = capacityOf;
     this.listed = listed;
   }
 
-  /** Creates an empty set; {@code capacities} returns a machine's capacity by its name. */
-  UnreportedMachines(Function<String, Resources> capacities) {
-    this(capacities, true);
+  /** Creates an empty set; {@code capacityOf} returns a machine's capacity by its name. */
+  UnreportedMachines(Function<String, Resources> capacityOf) {
+    this(capacityOf, true);
   }
 
   boolean isListed() {
@@ -42,36 +42,36 @@
   }
 
   void add(String machine) {
-    Resources capacity = capacities.apply(machine);
-    machines.put(machine, capacity);
+    Resources capacity = capacityOf.apply(machine);
+    capacityByMachine.put(machine, capacity);
     if (capacity.equals(Resources.UNBOUNDED)) {
-      unbounded++;
+      unboundedCount++;
     } else {
-      bounded = bounded.plus(capacity);
+      boundedCapacity = boundedCapacity.plus(capacity);
     }
   }
 
   boolean contains(String machine) {
-    return machines.containsKey(machine);
+    return capacityByMachine.containsKey(machine);
   }
 
   boolean isEmpty() {
-    return listed && machines.isEmpty();
+    return listed && capacityByMachine.isEmpty();
   }
 
   void remove(String machine) {
-    Resources capacity = machines.remove(machine);
+    Resources capacity = capacityByMachine.remove(machine);
     if (capacity != null) {
       subtract(capacity);
     }
   }
 
   void removeIf(Predicate<String> hasReported) {
-    Iterator<Map.Entry<String, Resources>> each = machines.entrySet().iterator();
-    while (each.hasNext()) {
-      Map.Entry<String, Resources> machine = each.next();
+    Iterator<Map.Entry<String, Resources>> iterator = capacityByMachine.entrySet().iterator();
+    while (iterator.hasNext()) {
+      Map.Entry<String, Resources> machine = iterator.next();
       if (hasReported.test(machine.getKey())) {
-        each.remove();
+        iterator.remove();
         subtract(machine.getValue());
       }
     }
@@ -79,14 +79,14 @@
 
   private void subtract(Resources capacity) {
     if (capacity.equals(Resources.UNBOUNDED)) {
-      unbounded--;
+      unboundedCount--;
     } else {
-      bounded = bounded.minus(capacity);
+      boundedCapacity = boundedCapacity.minus(capacity);
     }
   }
 
   /** Returns the total capacity of these machines, a bound on what their tasks use. */
   Resources capacity() {
-    return !listed || unbounded > 0 ? Resources.UNBOUNDED : bounded;
+    return !listed || unboundedCount > 0 ? Resources.UNBOUNDED : boundedCapacity;
   }
 }
--- a/src/main/java/org/sandford/job/UnschedulableClasses.java
+++ b/src/main/java/org/sandford/job/UnschedulableClasses.java
@@ -12,22 +12,24 @@
 final class UnschedulableClasses {
   private final Map<TaskEquivalenceClass, Integer> minUnschedulableTasks = new HashMap<>();
 
-  /** Whether {@code capacityGrowth} and {@code sinceMs} are set. */
-  private boolean begun;
+  /** Whether {@code capacityGrowthCount} and {@code validSinceMs} are set. */
+  private boolean initialized;
 
-  private long capacityGrowth;
-  private long sinceMs;
+  private long capacityGrowthCount;
+  private long validSinceMs;
 
   /**
    * Begins a planning round and drops entries that are no longer valid.
    *
-   * @param growth a counter that rises whenever free resources may have grown
+   * @param growthCount a counter that rises whenever free resources may have grown
    */
-  void beginRound(long growth, long nowMs) {
-    if (!begun || growth != capacityGrowth || nowMs - sinceMs > JobConstants.PLAN_IDLE_MS) {
-      begun = true;
-      capacityGrowth = growth;
-      sinceMs = nowMs;
+  void beginRound(long growthCount, long nowMs) {
+    if (!initialized
+        || growthCount != capacityGrowthCount
+        || nowMs - validSinceMs > JobConstants.PLAN_IDLE_MS) {
+      initialized = true;
+      capacityGrowthCount = growthCount;
+      validSinceMs = nowMs;
       minUnschedulableTasks.clear();
     }
   }
--- a/src/main/java/org/sandford/job/UntrackedTasks.java
+++ b/src/main/java/org/sandford/job/UntrackedTasks.java
@@ -26,23 +26,23 @@
   /**
    * The untracked tasks on one machine.
    *
-   * @param spare the most that tasks of unknown size may use on the machine
+   * @param freeResources the most that tasks of unknown size may use on the machine
    */
-  private record OnMachine(List<TaskSnapshot> tasks, Resources spare) {}
+  private record MachineTasks(List<TaskSnapshot> tasks, Resources freeResources) {}
 
   /** The team in a snapshot of a task whose job the machine's owner does not know. */
   private static final String UNKNOWN_TEAM = "";
 
   private final OwnedJobs owned;
   private final JobReader jobReader;
-  private final Function<String, InstanceType> instanceTypes;
-  private final Map<String, OnMachine> machines = new HashMap<>();
+  private final Function<String, InstanceType> instanceTypeByName;
+  private final Map<String, MachineTasks> byMachine = new HashMap<>();
 
   UntrackedTasks(
-      OwnedJobs owned, JobReader jobReader, Function<String, InstanceType> instanceTypes) {
+      OwnedJobs owned, JobReader jobReader, Function<String, InstanceType> instanceTypeByName) {
     this.owned = owned;
     this.jobReader = jobReader;
-    this.instanceTypes = instanceTypes;
+    this.instanceTypeByName = instanceTypeByName;
   }
 
   /**
@@ -51,26 +51,26 @@
    */
   void update(MachineSnapshot snapshot) {
     List<TaskSnapshot> untracked = new ArrayList<>();
-    OnMachine before = machines.get(snapshot.machine);
-    if (!snapshot.reconciled && before != null) {
-      untracked.addAll(before.tasks);
+    MachineTasks previous = byMachine.get(snapshot.machine);
+    if (!snapshot.reconciled && previous != null) {
+      untracked.addAll(previous.tasks);
     }
     for (TaskSnapshot task : snapshot.tasks) {
       if (countsAsUntracked(task)
-          && untracked.stream().noneMatch(known -> sameAttempt(known, task))) {
+          && untracked.stream().noneMatch(other -> sameAttempt(other, task))) {
         untracked.add(task);
       }
     }
     if (untracked.isEmpty()) {
-      machines.remove(snapshot.machine);
+      byMachine.remove(snapshot.machine);
     } else {
-      machines.put(snapshot.machine, new OnMachine(untracked, spare(snapshot)));
+      byMachine.put(snapshot.machine, new MachineTasks(untracked, freeResources(snapshot)));
     }
   }
 
   /** Removes a machine that left the assignment map, and whose tasks are gone. */
   void machineRemoved(String machine) {
-    machines.remove(machine);
+    byMachine.remove(machine);
   }
 
   private static boolean sameAttempt(TaskSnapshot a, TaskSnapshot b) {
@@ -97,50 +97,50 @@
     if (!task.team.isEmpty()) {
       return task.team;
     }
-    String remembered = jobReader.teamOf(task.job);
-    return remembered == null ? UNKNOWN_TEAM : remembered;
+    String cachedTeam = jobReader.teamOf(task.job);
+    return cachedTeam == null ? UNKNOWN_TEAM : cachedTeam;
   }
 
-  private Resources spare(MachineSnapshot snapshot) {
-    Resources spare = Resources.ofMachine(instanceTypes.apply(snapshot.instanceType));
+  private Resources freeResources(MachineSnapshot snapshot) {
+    Resources freeResources = Resources.ofMachine(instanceTypeByName.apply(snapshot.instanceType));
     for (TaskSnapshot task : snapshot.tasks) {
-      if (task.state != TaskState.EXITED && hasSize(task)) {
-        spare = spare.minus(new Resources(task.cpus, task.gpus));
+      if (task.state != TaskState.EXITED && isSizeKnown(task)) {
+        freeResources = freeResources.minus(new Resources(task.cpus, task.gpus));
       }
     }
-    return spare;
+    return freeResources;
   }
 
-  private static boolean hasSize(TaskSnapshot task) {
+  private static boolean isSizeKnown(TaskSnapshot task) {
     return !task.team.isEmpty();
   }
 
   /** Adds the resources that these tasks use or may use to their teams. */
-  void addTo(Map<String, Team> teams) {
-    Iterator<OnMachine> each = machines.values().iterator();
-    while (each.hasNext()) {
-      OnMachine machine = each.next();
+  void addUseTo(Map<String, Team> teams) {
+    Iterator<MachineTasks> iterator = byMachine.values().iterator();
+    while (iterator.hasNext()) {
+      MachineTasks machine = iterator.next();
       machine.tasks.removeIf(task -> !countsAsUntracked(task));
       if (machine.tasks.isEmpty()) {
-        each.remove();
+        iterator.remove();
       } else {
-        addTo(teams, machine);
+        addUseTo(teams, machine);
       }
     }
   }
 
-  private void addTo(Map<String, Team> teams, OnMachine machine) {
-    Set<String> ofUnknownSize = new HashSet<>();
+  private void addUseTo(Map<String, Team> teams, MachineTasks machine) {
+    Set<String> teamsWithUnknownSizes = new HashSet<>();
     for (TaskSnapshot task : machine.tasks) {
       String team = teamOf(task);
-      if (hasSize(task)) {
+      if (isSizeKnown(task)) {
         teams.get(team).addUntracked(new Resources(task.cpus, task.gpus));
       } else if (!team.equals(UNKNOWN_TEAM)) {
-        ofUnknownSize.add(team);
+        teamsWithUnknownSizes.add(team);
       } else {
-        ofUnknownSize.addAll(teams.keySet());
+        teamsWithUnknownSizes.addAll(teams.keySet());
       }
     }
-    ofUnknownSize.forEach(team -> teams.get(team).addUntracked(machine.spare));
+    teamsWithUnknownSizes.forEach(team -> teams.get(team).addUntracked(machine.freeResources));
   }
 }
--- a/src/test/java/org/sandford/job/GangTest.java
+++ b/src/test/java/org/sandford/job/GangTest.java
@@ -27,18 +27,18 @@
         Phase.RENDEZVOUS,
         Phase.TERMINATING,
         Phase.WAITING);
-    assertEquals(2, gang.failuresInRow());
+    assertEquals(2, gang.consecutiveFailures());
     transitionThrough(Phase.STARTING, Phase.RUNNING);
-    assertEquals(0, gang.failuresInRow());
+    assertEquals(0, gang.consecutiveFailures());
     transitionThrough(Phase.STOPPING, Phase.WAITING);
-    assertEquals(0, gang.failuresInRow(), "it ran, and was stopped");
+    assertEquals(0, gang.consecutiveFailures(), "it ran, and was stopped");
   }
 
   @Test
   void keepsStartTimeOfPhase() {
     gang.transitionTo(Phase.STARTING, 5);
     assertFalse(gang.transitionTo(Phase.STARTING, 9));
-    assertEquals(5, gang.since());
+    assertEquals(5, gang.phaseStartedAtNanos());
   }
 
   @Test
