--- a/src/main/java/org/sandford/job/Gang.java
+++ b/src/main/java/org/sandford/job/Gang.java
@@ -69,7 +69,7 @@
       return false;
     }
     if (!phase.mayBecome(next)) {
-      throw new IllegalStateException("a gang that is " + phase + " cannot become " + next);
+      throw new IllegalStateException("invalid gang phase transition: " + phase + " -> " + next);
     }
     switch (next) {
       case STARTING -> allTasksRan = false;
--- a/src/main/java/org/sandford/job/JobScheduler.java
+++ b/src/main/java/org/sandford/job/JobScheduler.java
@@ -216,7 +216,7 @@
     return ownership.handOver(name, generation);
   }
 
-  /** Handles a new connection to another controller, the first or a later one. */
+  /** Handles a new link to another controller, the first or a later one. */
   public void linkUp(String peer) {
     commands.linkUp(peer);
     ownership.linkUp(peer);
--- a/src/main/java/org/sandford/job/PendingStarts.java
+++ b/src/main/java/org/sandford/job/PendingStarts.java
@@ -9,7 +9,7 @@
 
 /**
  * Resolves starts that were requested from machines' owners, by the owner's answer or by its
- * absence once the connection was replaced. Runs on the event loop.
+ * absence once the link was replaced. Runs on the event loop.
  */
 final class PendingStarts {
   private final EventLoop loop;
@@ -58,7 +58,7 @@
 
   /**
    * Releases unanswered starts after the owner sent snapshots of all its machines. A start that was
-   * requested over an earlier connection and is not in the snapshots was never accepted.
+   * requested over an earlier link and is not in the snapshots was never accepted.
    */
   void releaseUnanswered(String owner, SnapshotUpdate snapshots) {
     Set<Attempt> reported = new HashSet<>();
--- a/src/main/java/org/sandford/job/Resources.java
+++ b/src/main/java/org/sandford/job/Resources.java
@@ -7,7 +7,7 @@
 record Resources(double cpus, double gpus) {
   static final Resources ZERO = new Resources(0, 0);
 
-  /** Stands for use without a known bound. */
+  /** Resource use without a known upper bound. */
   static final Resources UNBOUNDED =
       new Resources(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
 
--- a/src/main/java/org/sandford/job/TaskCommands.java
+++ b/src/main/java/org/sandford/job/TaskCommands.java
@@ -15,14 +15,14 @@
  * the team's generation, by which a machine's owner refuses commands of a former owner of the team.
  * A command is sent once and may be lost; callers that need its effect repeat it.
  *
- * <p>Counts the connections to each of the other controllers. Runs on the event loop.
+ * <p>Counts the links to each of the other controllers as epochs. Runs on the event loop.
  */
 final class TaskCommands {
   private final Cluster cluster;
   private final PeerLinks links;
   private final OwnedJobs owned;
 
-  /** The number of connections so far to each controller. */
+  /** The number of links so far to each controller. */
   private final Map<String, Integer> linkEpochs = new HashMap<>();
 
   TaskCommands(Cluster cluster, PeerLinks links, OwnedJobs owned) {
@@ -35,16 +35,16 @@
     linkEpochs.merge(peer, 1, Integer::sum);
   }
 
-  /** Returns the epoch of the current connection to this controller, or else of the last one. */
+  /** Returns the epoch of the current link to this controller, or else of the last one. */
   int linkEpoch(String peer) {
     return linkEpochs.getOrDefault(peer, 0);
   }
 
   /**
-   * Returns whether an unanswered start can no longer be executed. A new connection closes the old
-   * one at the remote end, so a start that was not accepted by then never will be. This holds only
-   * for the same incarnation of the owner: a former incarnation may have accepted the start and
-   * ended before it answered. In that case the machine's next owner reports the task.
+   * Returns whether an unanswered start can no longer be executed. A new link closes the old one at
+   * the remote end, so a start that was not accepted by then never will be. This holds only for the
+   * same incarnation of the owner: a former incarnation may have accepted the start and ended
+   * before it answered. In that case the machine's next owner reports the task.
    */
   boolean startIsObsolete(TaskPlacement placement, String owner) {
     return placement.linkEpoch < linkEpoch(owner)
@@ -58,7 +58,7 @@
         && assignment.owner().equals(incarnationId);
   }
 
-  /** Requests the start of the task. Returns false if the owner is not connected. */
+  /** Requests the start of the task. Returns false if there is no link to the owner. */
   boolean start(Team team, TaskPlacement placement) {
     Job job = placement.job;
     JobSpec spec = job.spec;
--- a/src/main/java/org/sandford/job/TaskPlacement.java
+++ b/src/main/java/org/sandford/job/TaskPlacement.java
@@ -15,7 +15,7 @@
   /** The label of the controller that owned the machine at that time. */
   final String owner;
 
-  /** The epoch of the connection to that controller at that time. */
+  /** The epoch of the link to that controller at that time. */
   final int linkEpoch;
 
   final String zone;
--- a/src/main/java/org/sandford/job/TaskReconciler.java
+++ b/src/main/java/org/sandford/job/TaskReconciler.java
@@ -181,9 +181,9 @@
   }
 
   /**
-   * Returns whether a former owner of the team started this attempt after the known one had ended.
-   * The known attempt may come from a stored snapshot older than this controller's ownership. An
-   * owner starts a task again only after the previous attempt ended, so the later attempt is the
+   * Returns whether a former owner of the team started this attempt after the current one had
+   * ended. The current one may come from a stored snapshot older than this controller's ownership.
+   * An owner starts a task again only after the previous attempt ended, so the later attempt is the
    * live one.
    */
   private boolean isLaterAttemptOfFormerOwner(Job job, TaskSnapshot task, TaskPlacement current) {
--- a/src/main/java/org/sandford/job/UntrackedTasks.java
+++ b/src/main/java/org/sandford/job/UntrackedTasks.java
@@ -47,7 +47,7 @@
 
   /**
    * Updates the machine's untracked tasks from its snapshot. A reconciled snapshot lists all tasks
-   * on the machine. With any other, known tasks that it lacks are kept, since they may still run.
+   * on the machine. Tasks that any other snapshot lacks are kept, since they may still run.
    */
   void update(MachineSnapshot snapshot) {
     List<TaskSnapshot> untracked = new ArrayList<>();
--- a/src/test/java/org/sandford/job/GangTest.java
+++ b/src/test/java/org/sandford/job/GangTest.java
@@ -13,7 +13,7 @@
 
   private void transitionThrough(Phase... phases) {
     for (Phase phase : phases) {
-      assertTrue(gang.transitionTo(phase, 1), "it was " + phase + " already");
+      assertTrue(gang.transitionTo(phase, 1), "the gang was already in phase " + phase);
     }
   }
 
@@ -31,7 +31,7 @@
     transitionThrough(Phase.STARTING, Phase.RUNNING);
     assertEquals(0, gang.consecutiveFailures());
     transitionThrough(Phase.STOPPING, Phase.WAITING);
-    assertEquals(0, gang.consecutiveFailures(), "it ran, and was stopped");
+    assertEquals(0, gang.consecutiveFailures(), "an attempt whose tasks all ran is no failure");
   }
 
   @Test
