--- a/src/main/java/org/sandford/job/JobScheduler.java
+++ b/src/main/java/org/sandford/job/JobScheduler.java
@@ -223,28 +223,28 @@
   }
 
   /** Handles another controller's reply to the claim of a team. */
-  public void claimReplied(String from, ClaimReply reply) {
-    if (ownership.claimReplied(from, reply)) {
+  public void claimReplied(String peer, ClaimReply reply) {
+    if (ownership.claimReplied(peer, reply)) {
       recovery.checkAll();
     }
   }
 
   /** Handles machine snapshots, which {@link MachineSnapshots} has stored already. */
-  public void snapshots(String from, SnapshotUpdate snapshots) {
-    for (MachineSnapshot snapshot : snapshots.machines) {
+  public void snapshots(String publisher, SnapshotUpdate update) {
+    for (MachineSnapshot snapshot : update.machines) {
       candidates.invalidate(snapshot.machine);
       if (isStored(snapshot)) {
-        reconciler.reconcile(from, snapshot);
+        reconciler.reconcile(publisher, snapshot);
         untrackedTasks.update(snapshot);
       }
     }
-    snapshots.removed.forEach(candidates::invalidate);
-    if (snapshots.complete) {
+    update.removed.forEach(candidates::invalidate);
+    if (update.complete) {
       candidates.invalidateAll();
-      pendingStarts.releaseUnanswered(from, snapshots);
+      pendingStarts.releaseUnanswered(publisher, update);
     }
-    recovery.check(snapshots.machines);
-    if (!snapshots.machines.isEmpty()) {
+    recovery.check(update.machines);
+    if (!update.machines.isEmpty()) {
       timer.requestRound();
     }
   }
--- a/src/main/java/org/sandford/job/PendingStarts.java
+++ b/src/main/java/org/sandford/job/PendingStarts.java
@@ -60,9 +60,9 @@
    * Releases unanswered starts after the owner sent snapshots of all its machines. A start that was
    * requested over an earlier link and is not in the snapshots was never accepted.
    */
-  void releaseUnanswered(String owner, SnapshotUpdate snapshots) {
+  void releaseUnanswered(String owner, SnapshotUpdate update) {
     Set<Attempt> reported = new HashSet<>();
-    snapshots.machines.forEach(
+    update.machines.forEach(
         machine -> machine.tasks.forEach(task -> reported.add(Attempt.of(task))));
     for (Job job : owned.jobs().values()) {
       for (TaskPlacement placement : job.placements()) {
--- a/src/test/java/org/sandford/job/GangTest.java
+++ b/src/test/java/org/sandford/job/GangTest.java
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void keepsStartTimeOfPhase() {
+  void repeatedTransitionKeepsPhaseStart() {
     gang.transitionTo(Phase.STARTING, 5);
     assertFalse(gang.transitionTo(Phase.STARTING, 9));
     assertEquals(5, gang.phaseStartedAtNanos());
