--- a/src/test/java/org/sandford/job/GangTest.java
+++ b/src/test/java/org/sandford/job/GangTest.java
@@ -13,7 +13,7 @@
 
   private void transitionThrough(Phase... phases) {
     for (Phase phase : phases) {
-      assertTrue(gang.transitionTo(phase, 1), "the gang was already in phase " + phase);
+      assertTrue(gang.transitionTo(phase, 1), "the phase was " + phase + " already");
     }
   }
 
