--- a/src/main/java/org/sandford/job/TaskCommands.java
+++ b/src/main/java/org/sandford/job/TaskCommands.java
@@ -15,14 +15,14 @@
  * the team's generation, by which a machine's owner refuses commands of a former owner of the team.
  * A command is sent once and may be lost; callers that need its effect repeat it.
  *
- * <p>Counts the links to each of the other controllers as epochs. Runs on the event loop.
+ * <p>Numbers the links to each of the other controllers by epoch. Runs on the event loop.
  */
 final class TaskCommands {
   private final Cluster cluster;
   private final PeerLinks links;
   private final OwnedJobs owned;
 
-  /** The number of links so far to each controller. */
+  /** The number of links so far to each controller, which is the epoch of the latest. */
   private final Map<String, Integer> linkEpochs = new HashMap<>();
 
   TaskCommands(Cluster cluster, PeerLinks links, OwnedJobs owned) {
