--- a/src/main/java/org/sandford/job/AssignedMachines.java
+++ b/src/main/java/org/sandford/job/AssignedMachines.java
@@ -5,54 +5,54 @@
 import org.sandford.cluster.Cluster;
 
 /**
- * Follows the machines of the assignment map. Only machines that changed are gone through: the map
- * of a large cluster changes in parts, several times a second. Runs on the event loop.
+ * Applies changes of the machines' assignment map. Processes only the differences, since the map of
+ * a large cluster changes in parts, several times a second. Runs on the event loop.
  */
 final class AssignedMachines {
   private final Cluster cluster;
   private final CandidateMachines candidates;
-  private final UntrackedTasks untracked;
+  private final UntrackedTasks untrackedTasks;
   private final PlacementLedger ledger;
 
-  /** The machines of the map when it was applied last. */
-  private Map<String, MachineAssignment> applied = Map.of();
+  /** The map as of the last call of {@link #applyMap}. */
+  private Map<String, MachineAssignment> appliedMap = Map.of();
 
   AssignedMachines(
       Cluster cluster,
       CandidateMachines candidates,
-      UntrackedTasks untracked,
+      UntrackedTasks untrackedTasks,
       PlacementLedger ledger) {
     this.cluster = cluster;
     this.candidates = candidates;
-    this.untracked = untracked;
+    this.untrackedTasks = untrackedTasks;
     this.ledger = ledger;
   }
 
-  /** Applies what changed in the map since the last call. */
+  /** Applies the changes of the map since the last call. */
   void applyMap() {
     Map<String, MachineAssignment> current = cluster.machines().of();
-    if (current == applied) {
+    if (current == appliedMap) {
       return;
     }
-    Map<String, MachineAssignment> before = applied;
-    applied = current;
+    Map<String, MachineAssignment> previous = appliedMap;
+    appliedMap = current;
     current.forEach(
         (name, assignment) -> {
-          if (!assignment.equals(before.get(name))) {
+          if (!assignment.equals(previous.get(name))) {
             candidates.invalidate(name);
           }
         });
-    for (String name : before.keySet()) {
+    for (String name : previous.keySet()) {
       if (!current.containsKey(name)) {
-        removed(name);
+        handleRemoval(name);
       }
     }
   }
 
-  /** The machine was decommissioned, and all that was on it is gone. */
-  private void removed(String machine) {
+  /** Handles a machine that was decommissioned, and whose tasks are gone. */
+  private void handleRemoval(String machine) {
     candidates.invalidate(machine);
-    untracked.machineRemoved(machine);
+    untrackedTasks.machineRemoved(machine);
     ledger
         .placementsOn(machine)
         .forEach(
--- a/src/main/java/org/sandford/job/CandidateMachines.java
+++ b/src/main/java/org/sandford/job/CandidateMachines.java
@@ -22,86 +22,86 @@
 import org.sandford.placement.CandidateMachine;
 
 /**
- * The free resources of every machine, and which tasks of this controller's jobs are placed where.
- * Both are brought up to date for machines that changed only: for all of them at each plan, that
- * costs more than the plan. Runs on the event loop.
+ * The free resources of all machines, and the placements of this controller's jobs by machine. Only
+ * machines that changed are recomputed: to recompute all of them costs more than a plan. Runs on
+ * the event loop.
  */
 final class CandidateMachines {
   private final MachineSnapshots machineSnapshots;
   private final Cluster cluster;
   private final PeerLinks links;
-  private final String self;
-  private final Function<String, InstanceType> instanceTypes;
+  private final String ownLabel;
+  private final Function<String, InstanceType> instanceTypeByName;
   private final Map<String, CandidateMachine> candidates = new TreeMap<>();
   private final Map<String, Set<TaskPlacement>> placementsByMachine = new HashMap<>();
-  private final Set<String> stale = new LinkedHashSet<>();
-  private long capacityGrowth;
+  private final Set<String> staleMachines = new LinkedHashSet<>();
+  private long capacityGrowthCount;
 
   CandidateMachines(
       MachineSnapshots machineSnapshots,
       Cluster cluster,
       PeerLinks links,
-      String self,
-      Function<String, InstanceType> instanceTypes) {
+      String ownLabel,
+      Function<String, InstanceType> instanceTypeByName) {
     this.machineSnapshots = machineSnapshots;
     this.cluster = cluster;
     this.links = links;
-    this.self = self;
-    this.instanceTypes = instanceTypes;
+    this.ownLabel = ownLabel;
+    this.instanceTypeByName = instanceTypeByName;
   }
 
-  /** What is known of the machine has changed, so its free resources are counted anew. */
+  /** Marks the machine's free resources to be recomputed. */
   void invalidate(String machine) {
-    stale.add(machine);
+    staleMachines.add(machine);
   }
 
-  /** Anything may have changed. */
+  /** Marks the free resources of all machines to be recomputed. */
   void invalidateAll() {
-    stale.addAll(candidates.keySet());
-    machineSnapshots.all().forEach(received -> stale.add(received.snapshot().machine));
+    staleMachines.addAll(candidates.keySet());
+    machineSnapshots.all().forEach(received -> staleMachines.add(received.snapshot().machine));
   }
 
-  /** The placement takes resources of its machine, whether its owner reports the task or not. */
+  /** Deducts the placement's resources from its machine, reported by the owner or not. */
   void addPlacement(TaskPlacement placement) {
     placementsByMachine
         .computeIfAbsent(placement.machine, machine -> new LinkedHashSet<>())
         .add(placement);
-    stale.add(placement.machine);
+    staleMachines.add(placement.machine);
   }
 
-  /** The placement takes no more than its machine's snapshot says. */
+  /** Stops deducting the placement's resources beyond those in its machine's snapshot. */
   void removePlacement(TaskPlacement placement) {
     Set<TaskPlacement> onMachine = placementsByMachine.get(placement.machine);
     if (onMachine != null && onMachine.remove(placement)) {
       if (onMachine.isEmpty()) {
         placementsByMachine.remove(placement.machine);
       }
-      stale.add(placement.machine);
+      staleMachines.add(placement.machine);
     }
   }
 
-  /** The attempts of this controller's jobs that are, or may be, on the machine. */
+  /** Returns the attempts of this controller's jobs that are or may be on the machine. */
   List<TaskPlacement> placementsOn(String machine) {
     Set<TaskPlacement> onMachine = placementsByMachine.get(machine);
     return onMachine == null ? List.of() : new ArrayList<>(onMachine);
   }
 
   /**
-   * Rises whenever free resources may have grown: what found no place before need not be tried
-   * until then.
+   * Returns a counter that rises whenever free resources may have grown. A job that could not be
+   * placed need not be tried again while the counter is unchanged.
    */
-  long capacityGrowth() {
+  long capacityGrowthCount() {
     refresh();
-    return capacityGrowth;
+    return capacityGrowthCount;
   }
 
-  /** The machines that may get tasks and whose owner takes requests now. */
+  /** Returns the machines that accept tasks and whose owner accepts requests at present. */
   List<CandidateMachine> usable() {
     refresh();
-    Map<String, Boolean> ownerTakesRequests = new HashMap<>();
+    Map<String, Boolean> ownerAcceptsRequests = new HashMap<>();
     List<CandidateMachine> usable = new ArrayList<>(candidates.size());
     for (CandidateMachine candidate : candidates.values()) {
-      if (ownerTakesRequests.computeIfAbsent(
+      if (ownerAcceptsRequests.computeIfAbsent(
           candidate.owner,
           owner -> links.isLive(owner) && machineSnapshots.isOwnerLeaseValid(owner))) {
         usable.add(candidate);
@@ -111,28 +111,28 @@
   }
 
   private void refresh() {
-    List<String> unresolved = new ArrayList<>();
-    for (String machine : stale) {
+    List<String> machinesOfUnknownType = new ArrayList<>();
+    for (String machine : staleMachines) {
       CandidateMachine before = candidates.remove(machine);
       ReceivedSnapshot received = machineSnapshots.get(machine);
       if (received == null) {
         continue;
       }
-      InstanceType instanceType = instanceTypes.apply(received.snapshot().instanceType);
+      InstanceType instanceType = instanceTypeByName.apply(received.snapshot().instanceType);
       if (instanceType == null) {
         // The cloud has not listed its instance types yet.
-        unresolved.add(machine);
+        machinesOfUnknownType.add(machine);
       } else if (acceptsTasks(received)) {
         CandidateMachine now = candidateFrom(received, instanceType);
         candidates.put(machine, now);
-        capacityGrowth += hasGrown(before, now) ? 1 : 0;
+        capacityGrowthCount += hasGrown(before, now) ? 1 : 0;
       }
     }
-    stale.clear();
-    stale.addAll(unresolved);
+    staleMachines.clear();
+    staleMachines.addAll(machinesOfUnknownType);
   }
 
-  /** Whether more is free than before, where {@code before} is null for a machine without any. */
+  /** Returns whether free resources grew; {@code before} is null for a new candidate. */
   private static boolean hasGrown(CandidateMachine before, CandidateMachine now) {
     return before == null
         || now.freeCpus > before.freeCpus
@@ -140,7 +140,7 @@
         || now.freeRam > before.freeRam;
   }
 
-  /** Whether the machine may get tasks, and what it holds is known. */
+  /** Returns whether the machine accepts tasks and the sizes of all its tasks are known. */
   private boolean acceptsTasks(ReceivedSnapshot received) {
     MachineSnapshot snapshot = received.snapshot();
     return snapshot.state == MachineState.UP
@@ -169,7 +169,7 @@
             snapshot.instanceType,
             snapshot.zone,
             snapshot.spot,
-            received.owner().equals(self),
+            received.owner().equals(ownLabel),
             instanceType.cpus(),
             instanceType.gpus(),
             instanceType.ram());
@@ -177,7 +177,7 @@
     if (!snapshot.reservations.isEmpty()) {
       candidate.reservations = reservationsOf(snapshot);
     }
-    takeUsed(candidate, snapshot);
+    deductUsed(candidate, snapshot);
     return candidate;
   }
 
@@ -195,8 +195,8 @@
         .toList();
   }
 
-  /** Takes what the machine's tasks use, and what starts will use that its owner lacks as yet. */
-  private void takeUsed(CandidateMachine candidate, MachineSnapshot snapshot) {
+  /** Deducts the use of reported tasks and of placements that the owner does not report yet. */
+  private void deductUsed(CandidateMachine candidate, MachineSnapshot snapshot) {
     Set<TaskPlacement> placements = placementsByMachine.getOrDefault(snapshot.machine, Set.of());
     Set<Attempt> reported = placements.isEmpty() ? Set.of() : new HashSet<>();
     for (TaskSnapshot task : snapshot.tasks) {
--- a/src/main/java/org/sandford/job/JobScheduler.java
+++ b/src/main/java/org/sandford/job/JobScheduler.java
@@ -26,11 +26,12 @@
 import org.sandford.store.RecordWriter;
 
 /**
- * The jobs of the teams that this controller owns. It alone decides attempts, quota and the state
- * of these jobs; machines are commanded by their owners, from which it requests starts and stops.
+ * Schedules the jobs of the teams that this controller owns. For these jobs only this controller
+ * assigns attempts, checks quota and changes the state. Machines are commanded by their owners,
+ * from which it requests starts and stops.
  *
- * <p>A facade: it assembles the classes of this package and passes calls and events on to them. All
- * of it runs on the event loop.
+ * <p>Assembles the classes of this package and delegates calls and events to them. All of it runs
+ * on the event loop.
  */
 public final class JobScheduler {
   private final EventLoop loop;
@@ -39,8 +40,8 @@
   private final CandidateMachines candidates;
   private final OwnedJobs owned;
   private final JobAnswers answers;
-  private final UntrackedTasks untracked;
-  private final CancelledJobs cancelled;
+  private final UntrackedTasks untrackedTasks;
+  private final CancelledJobs cancelledJobs;
   private final QuotaUse quota;
   private final PlanningTimer timer;
   private final TaskCommands commands;
@@ -53,17 +54,16 @@
   private final Submissions submissions;
   private final JobCancellation cancellation;
   private final TeamOwnership ownership;
-  private final OpenJobLoader openJobs;
+  private final OpenJobLoader openJobLoader;
   private final TeamRecovery recovery;
   private final SchedulingQueue queue;
   private final PlanningRound planningRound;
   private final ServiceConsolidation consolidation;
 
   /**
-   * Assembles the package: it takes what any of the classes needs, and has a step for each, in the
-   * order in which they depend on each other.
+   * Creates the classes of this package in the order of their dependencies.
    *
-   * @param instanceTypes the instance type of a name, or null while it is not known
+   * @param instanceTypeByName returns the instance type of a name, or null while it is not known
    */
   public JobScheduler(
       EventLoop loop,
@@ -75,7 +75,7 @@
       OpenJobReader store,
       TerminalStates terminalStates,
       JobReader jobReader,
-      Function<String, InstanceType> instanceTypes,
+      Function<String, InstanceType> instanceTypeByName,
       AuditLog audit) {
     this.loop = loop;
     this.cluster = cluster;
@@ -83,25 +83,27 @@
     Settings.Facts facts = settings.facts();
 
     candidates =
-        new CandidateMachines(machineSnapshots, cluster, links, settings.label(), instanceTypes);
+        new CandidateMachines(
+            machineSnapshots, cluster, links, settings.label(), instanceTypeByName);
     owned = new OwnedJobs(cluster, jobReader, candidates);
     answers = new JobAnswers(owned, terminalStates, jobReader);
-    untracked = new UntrackedTasks(owned, jobReader, instanceTypes);
-    cancelled =
+    untrackedTasks = new UntrackedTasks(owned, jobReader, instanceTypeByName);
+    cancelledJobs =
         new CancelledJobs(loop, jobReader, cluster::terminalStatesCompleteSince, facts.cancelS());
-    quota = new QuotaUse(owned, untracked, cancelled);
+    quota = new QuotaUse(owned, untrackedTasks, cancelledJobs);
 
-    timer = new PlanningTimer(loop, this::plan);
+    timer = new PlanningTimer(loop, this::runPlanningRound);
     commands = new TaskCommands(cluster, links, owned);
     gangs = new Gangs(loop, facts, cluster, owned, commands);
     PlacementLedger ledger = new PlacementLedger(loop, owned, candidates, gangs, timer);
-    assignedMachines = new AssignedMachines(cluster, candidates, untracked, ledger);
+    assignedMachines = new AssignedMachines(cluster, candidates, untrackedTasks, ledger);
     pendingStarts = new PendingStarts(loop, owned, ledger, commands, gangs, timer);
 
     termination =
-        new JobTermination(loop, owned, terminalStates, answers, cancelled, commands, timer);
+        new JobTermination(loop, owned, terminalStates, answers, cancelledJobs, commands, timer);
     records =
-        new JobRecords(loop, settings, cluster, owned, writer, jobReader, audit, new StoredJobs());
+        new JobRecords(
+            loop, settings, cluster, owned, writer, jobReader, audit, new RecordWriteHandler());
     TaskExits exits = new TaskExits(loop, commands, ledger, records, timer);
     reconciler = new TaskReconciler(loop, cluster, owned, ledger, commands, gangs, exits);
     submissions =
@@ -115,12 +117,12 @@
             terminalStates,
             jobReader,
             answers,
-            new TakenJobs());
+            new JobChangeHandler());
     cancellation = new JobCancellation(owned, answers, commands, records);
 
     ownership = new TeamOwnership(settings, cluster, links, audit, owned, candidates);
-    openJobs = new OpenJobLoader(loop, store, terminalStates, owned);
-    recovery = new TeamRecovery(cluster, machineSnapshots, owned, instanceTypes, timer);
+    openJobLoader = new OpenJobLoader(loop, store, terminalStates, owned);
+    recovery = new TeamRecovery(cluster, machineSnapshots, owned, instanceTypeByName, timer);
 
     queue = new SchedulingQueue(loop, owned);
     Preemptor preemptor = new Preemptor(loop, settings, machineSnapshots, links, new Planner());
@@ -129,8 +131,8 @@
     consolidation = new ServiceConsolidation(loop, machineSnapshots, owned, candidates, commands);
   }
 
-  /** What follows from jobs that were taken up. */
-  private final class TakenJobs implements Submissions.Changes {
+  /** Plans after changes of the open jobs, and adopts the running tasks of a job that was found. */
+  private final class JobChangeHandler implements Submissions.Changes {
     @Override
     public void jobsChanged() {
       timer.requestRound();
@@ -143,8 +145,8 @@
     }
   }
 
-  /** What follows from records that are stored. */
-  private final class StoredJobs implements JobRecords.Stored {
+  /** Handles writes of job records that are confirmed by the store. */
+  private final class RecordWriteHandler implements JobRecords.Stored {
     @Override
     public void ended(Job job, TerminalState state) {
       termination.ended(job, state);
@@ -164,36 +166,36 @@
     loop.every(GangConstants.GANG_CHECK_MS, gangs::checkAll);
   }
 
-  /** How many jobs are known here, those included that ended and still hold resources. */
+  /** Returns the number of open jobs, including jobs that ended and still hold resources. */
   public int openJobs() {
     return owned.jobs().size();
   }
 
-  /** How many tasks of these jobs have no placement. */
+  /** Returns the number of tasks of these jobs that have no placement. */
   public int waitingTasks() {
     return owned.jobs().values().stream().mapToInt(job -> job.tasks.waitingCount()).sum();
   }
 
-  /** How many teams this controller owns. */
+  /** Returns the number of teams that this controller owns. */
   public int teamCount() {
     return owned.teams().size();
   }
 
-  /** The assignment map of teams or of machines changed. */
+  /** Handles a change of the assignment map of teams or machines. */
   public void mapChanged() {
     List<Team> acquired = ownership.applyMap();
     if (!acquired.isEmpty()) {
-      // What the machines hold of these teams did not concern this controller until now.
-      machineSnapshots.all().forEach(received -> untracked.update(received.snapshot()));
-      openJobs.load(acquired, this::openJobsLoaded);
+      // Tasks of these teams were ignored in earlier snapshots.
+      machineSnapshots.all().forEach(received -> untrackedTasks.update(received.snapshot()));
+      openJobLoader.load(acquired, this::openJobsLoaded);
     }
     assignedMachines.applyMap();
     recovery.checkAll();
     timer.requestRound();
   }
 
-  private void openJobsLoaded(Set<String> adopted) {
-    adoptTasks(adopted);
+  private void openJobsLoaded(Set<String> adoptedJobs) {
+    adoptTasks(adoptedJobs);
     for (Team team : owned.teams().values()) {
       team.jobs.values().forEach(records::flush);
     }
@@ -202,102 +204,105 @@
     timer.requestRound();
   }
 
-  private void adoptTasks(Set<String> jobs) {
-    reconciler.adoptTasks(List.copyOf(machineSnapshots.all()), jobs);
+  private void adoptTasks(Set<String> jobIds) {
+    reconciler.adoptTasks(List.copyOf(machineSnapshots.all()), jobIds);
   }
 
   /**
-   * The leader wants another controller to own the team; false when it is not served here under
-   * this generation.
+   * Hands the team over at the leader's request. Returns false when the team is not served here
+   * under this generation.
    */
   public boolean handOverTeam(String name, long generation) {
     return ownership.handOver(name, generation);
   }
 
-  /** The link to another controller came up, for the first time or anew. */
+  /** Handles a new link to another controller, the first or a later one. */
   public void linkUp(String peer) {
     commands.linkUp(peer);
     ownership.linkUp(peer);
   }
 
-  /** Another controller replied to the claim of a team. */
-  public void claimReplied(String from, ClaimReply reply) {
-    if (ownership.claimReplied(from, reply)) {
+  /** Handles another controller's reply to the claim of a team. */
+  public void claimReplied(String peer, ClaimReply reply) {
+    if (ownership.claimReplied(peer, reply)) {
       recovery.checkAll();
     }
   }
 
-  /** Machine snapshots came, which {@link MachineSnapshots} has taken in already. */
-  public void snapshots(String from, SnapshotUpdate snapshots) {
-    for (MachineSnapshot snapshot : snapshots.machines) {
+  /** Handles machine snapshots, which {@link MachineSnapshots} has stored already. */
+  public void snapshots(String publisher, SnapshotUpdate update) {
+    for (MachineSnapshot snapshot : update.machines) {
       candidates.invalidate(snapshot.machine);
-      if (wasTakenIn(snapshot)) {
-        reconciler.reconcile(from, snapshot);
-        untracked.update(snapshot);
+      if (isStored(snapshot)) {
+        reconciler.reconcile(publisher, snapshot);
+        untrackedTasks.update(snapshot);
       }
     }
-    snapshots.removed.forEach(candidates::invalidate);
-    if (snapshots.complete) {
+    update.removed.forEach(candidates::invalidate);
+    if (update.complete) {
       candidates.invalidateAll();
-      pendingStarts.releaseUnanswered(from, snapshots);
+      pendingStarts.releaseUnanswered(publisher, update);
     }
-    recovery.check(snapshots.machines);
-    if (!snapshots.machines.isEmpty()) {
+    recovery.check(update.machines);
+    if (!update.machines.isEmpty()) {
       timer.requestRound();
     }
   }
 
-  /** Whether this very snapshot is the machine's latest; its contents may be large to compare. */
+  /**
+   * Returns whether this instance is the stored snapshot. A comparison by value would be expensive.
+   */
   @SuppressWarnings("ReferenceEquality")
-  private boolean wasTakenIn(MachineSnapshot snapshot) {
+  private boolean isStored(MachineSnapshot snapshot) {
     MachineSnapshots.ReceivedSnapshot received = machineSnapshots.get(snapshot.machine);
     return received != null && received.snapshot() == snapshot;
   }
 
-  /** A machine's owner replied to the request for a start. */
+  /** Handles the reply of a machine's owner to a requested start. */
   public void startReplied(StartReply reply) {
     pendingStarts.handleReply(reply);
   }
 
-  /** A user's submission for a team of this controller. */
+  /** Handles a user's submission of a job for a team of this controller. */
   public void submit(JobSpec spec, Consumer<ApiResponse> answer) {
     submissions.submit(spec, answer);
   }
 
-  /** Stores a job whose team's owner cannot take it just now. */
+  /** Stores a job whose team's owner cannot accept it at present. */
   public void storeOnBehalfOfOwner(JobSpec spec, Consumer<ApiResponse> answer) {
     submissions.storeOnBehalfOfOwner(spec, answer);
   }
 
-  /** Another controller stored a job for this team. */
+  /** Adopts a job that another controller stored for this team. */
   public void adoptNewJob(String id, String team) {
     submissions.adoptNewJob(id, team);
   }
 
-  /** What may be said of jobs, of this controller's teams and others. */
+  /** Returns the class that answers queries about the jobs of all teams. */
   public JobAnswers answers() {
     return answers;
   }
 
-  /** Cancels a job of a team of this controller; false when it is not known here. */
+  /** Cancels a job of a team of this controller. Returns false when the job is not known here. */
   public boolean abort(String id, Consumer<ApiResponse> answer) {
     return cancellation.abort(id, answer);
   }
 
-  /** Somebody stored this job's terminal state, possibly this controller. */
+  /** Handles a job's terminal state, which this or another controller stored. */
   public void jobEnded(String id, JsonNode record) {
     TerminalState state = JobRecordCodec.terminalState(record);
     if (state == TerminalState.CANCELLED) {
-      cancelled.add(id, JobRecordCodec.terminalTeam(record), JobRecordCodec.terminalTasks(record));
+      cancelledJobs.add(
+          id, JobRecordCodec.terminalTeam(record), JobRecordCodec.terminalTasks(record));
     }
     Job job = owned.job(id);
-    // A cancelled job stays known until its tasks are gone, so its end may come more than once.
+    // A cancelled job stays known until its tasks are gone, so its end may be reported repeatedly.
     if (job != null && !job.writing && !job.phase().over()) {
       termination.ended(job, state);
     }
   }
 
-  private boolean plan() {
+  private boolean runPlanningRound() {
     if (!cluster.sessionLeaseValid()) {
       return false;
     }
@@ -310,9 +315,9 @@
     return true;
   }
 
-  /** What waits, by task equivalence classes, within the teams' limits. */
+  /** Returns the waiting tasks within the teams' limits, by task equivalence class. */
   public List<DemandClass> demand() {
     quota.recount();
-    return new DemandReport(owned.teams(), loop.nanos()).of(queue.waiting());
+    return new DemandReport(owned.teams(), loop.nanos()).demandOf(queue.waiting());
   }
 }
--- a/src/main/java/org/sandford/job/PreemptibleTasks.java
+++ b/src/main/java/org/sandford/job/PreemptibleTasks.java
@@ -21,23 +21,23 @@
 import org.sandford.settings.Settings;
 
 /**
- * What runs on all machines at one moment, and which of it may be preempted for a job: tasks of
- * lower rank, and, where the job lies within its team's guarantee, what other teams run beyond
- * theirs. Services are left alone in the second case. Used on the event loop.
+ * The tasks on all machines at one moment, and which of them may be preempted for a job: tasks of
+ * lower rank, and, if the job lies within its team's guarantee, tasks of teams that exceed theirs.
+ * Production tasks are exempt from the second rule. Used on the event loop.
  */
 final class PreemptibleTasks {
-  private final List<Victim> running = new ArrayList<>();
+  private final List<Victim> activeTasks = new ArrayList<>();
 
   /** CPUs that each team uses beyond its guarantee; negative below it. */
-  private final Map<String, Double> beyondGuarantee = new HashMap<>();
+  private final Map<String, Double> cpusBeyondGuarantee = new HashMap<>();
 
-  private final Map<String, List<Victim>> gangs = new HashMap<>();
+  private final Map<String, List<Victim>> gangTasks = new HashMap<>();
 
-  /** Scans the snapshots of all machines, which costs a step for each task. */
-  PreemptibleTasks(MachineSnapshots machineSnapshots, Settings.Facts facts, long now) {
+  /** Scans the snapshots of all machines, in time linear in the number of tasks. */
+  PreemptibleTasks(MachineSnapshots machineSnapshots, Settings.Facts facts, long nowNanos) {
     for (MachineSnapshots.ReceivedSnapshot received : machineSnapshots.all()) {
       if (machineSnapshots.isFromOwner(received) && received.snapshot().state == MachineState.UP) {
-        received.snapshot().tasks.forEach(task -> add(received, task, now));
+        received.snapshot().tasks.forEach(task -> add(received, task, nowNanos));
       }
     }
     findGangs();
@@ -45,49 +45,49 @@
         .teams()
         .forEach(
             (name, limits) ->
-                beyondGuarantee.computeIfPresent(name, (n, used) -> used - limits.cpus()));
+                cpusBeyondGuarantee.computeIfPresent(name, (n, used) -> used - limits.cpus()));
   }
 
   /**
-   * Only tasks of a gang share their attempt, so the gangs of other controllers show in snapshots
-   * as well. Few tasks are in gangs; the others cost no more than a place in a sorted array.
+   * Groups the tasks of gangs. Only tasks of one gang share an attempt number, so gangs of other
+   * controllers are found as well. Few tasks are in gangs; the others cost one sorted array entry.
    */
   private void findGangs() {
-    long[] attempts = running.stream().mapToLong(Victim::attempt).sorted().toArray();
-    Set<Long> shared = new HashSet<>();
+    long[] attempts = activeTasks.stream().mapToLong(Victim::attempt).sorted().toArray();
+    Set<Long> sharedAttempts = new HashSet<>();
     for (int i = 1; i < attempts.length; i++) {
       if (attempts[i] == attempts[i - 1]) {
-        shared.add(attempts[i]);
+        sharedAttempts.add(attempts[i]);
       }
     }
-    if (shared.isEmpty()) {
+    if (sharedAttempts.isEmpty()) {
       return;
     }
-    for (Victim victim : running) {
-      if (shared.contains(victim.attempt())) {
-        gangs.computeIfAbsent(gangName(victim), name -> new ArrayList<>()).add(victim);
+    for (Victim victim : activeTasks) {
+      if (sharedAttempts.contains(victim.attempt())) {
+        gangTasks.computeIfAbsent(gangKey(victim), name -> new ArrayList<>()).add(victim);
       }
     }
-    gangs.values().removeIf(tasks -> tasks.size() < 2);
-    running.replaceAll(
+    gangTasks.values().removeIf(tasks -> tasks.size() < 2);
+    activeTasks.replaceAll(
         victim -> {
           List<Victim> gang =
-              shared.contains(victim.attempt()) ? gangs.get(gangName(victim)) : null;
-          return gang == null ? victim : victim.inGang(gangName(victim), gangLoss(gang));
+              sharedAttempts.contains(victim.attempt()) ? gangTasks.get(gangKey(victim)) : null;
+          return gang == null ? victim : victim.inGang(gangKey(victim), gangLossCpuS(gang));
         });
   }
 
-  private static String gangName(Victim victim) {
+  private static String gangKey(Victim victim) {
     return victim.job() + "@" + victim.attempt();
   }
 
-  private void add(MachineSnapshots.ReceivedSnapshot received, TaskSnapshot task, long now) {
+  private void add(MachineSnapshots.ReceivedSnapshot received, TaskSnapshot task, long nowNanos) {
     if (!task.described || task.state == TaskState.EXITED) {
       return;
     }
-    // Snapshots come only when something changes, so tasks have aged since.
-    double ageS = task.ageS + (now - received.at()) / TimeConstants.NANOS_PER_S;
-    running.add(
+    // Snapshots are sent only on changes, so the time since the snapshot is added to the age.
+    double ageS = task.ageS + (nowNanos - received.at()) / TimeConstants.NANOS_PER_S;
+    activeTasks.add(
         new Victim(
             received.snapshot().machine,
             task.team,
@@ -99,41 +99,41 @@
             task.gpus,
             task.ram,
             task.cpus * ageS));
-    beyondGuarantee.merge(task.team, task.cpus, Double::sum);
+    cpusBeyondGuarantee.merge(task.team, task.cpus, Double::sum);
   }
 
   /**
-   * What is lost with a gang. It is told to save, so its age counts only while it has just come up:
-   * stopped then, its start was in vain.
+   * Returns the CPU seconds lost with the gang. Its age counts only while it has just started,
+   * since its start would be wasted then; later it saves a checkpoint before it stops.
    */
-  private static double gangLoss(List<Victim> gang) {
+  private static double gangLossCpuS(List<Victim> gang) {
     double cpus = gang.stream().mapToDouble(Victim::cpus).sum();
     double cpuSeconds = gang.stream().mapToDouble(Victim::lossCpuS).sum();
-    boolean young = cpuSeconds < cpus * GangConstants.GANG_SETTLED_S;
-    return cpus * GangConstants.GANG_SETTLED_S * (young ? 2 : 1);
+    boolean justStarted = cpuSeconds < cpus * GangConstants.GANG_SETTLED_S;
+    return cpus * GangConstants.GANG_SETTLED_S * (justStarted ? 2 : 1);
   }
 
-  /** The tasks that stop when this one does. */
+  /** Returns the tasks that stop together with this one. */
   private List<Victim> preemptedTogether(Victim victim) {
-    return gangs.getOrDefault(victim.gang(), List.of(victim));
+    return gangTasks.getOrDefault(victim.gang(), List.of(victim));
   }
 
-  /** The tasks that may be preempted for the job, without those that are preempted already. */
-  List<Victim> victims(Team team, Job job, Predicate<Attempt> preempted) {
+  /** Returns the tasks that may be preempted for the job and for which no preemption is pending. */
+  List<Victim> victimsFor(Team team, Job job, Predicate<Attempt> preemptionRequested) {
     PreemptingJob preemptingJob = new PreemptingJob(team, job);
-    return running.stream()
-        .filter(victim -> !preempted.test(attemptOf(victim)))
+    return activeTasks.stream()
+        .filter(victim -> !preemptionRequested.test(attemptOf(victim)))
         .filter(preemptingJob::mayPreempt)
         .toList();
   }
 
-  /** The job to preempt for, and how much of what teams borrow it may still take. */
+  /** The job to preempt for, and the CPUs beyond each team's guarantee that it may still claim. */
   private final class PreemptingJob {
     private final Team team;
     private final int rank;
     private final boolean guaranteed;
     private final boolean wasPreempted;
-    private final Map<String, Double> borrowed = new HashMap<>(beyondGuarantee);
+    private final Map<String, Double> unclaimedBorrowedCpus = new HashMap<>(cpusBeyondGuarantee);
 
     PreemptingJob(Team team, Job job) {
       this.team = team;
@@ -151,9 +151,10 @@
     }
 
     /**
-     * A job beyond its own team's guarantee that was preempted itself leaves alone what others run
-     * within theirs: it may have been preempted for them, and the two would preempt each other for
-     * ever. Services are never preempted in turn.
+     * Returns whether the job may preempt a task of lower rank. If it exceeds its team's guarantee
+     * and was preempted itself, it spares tasks within other teams' guarantees: it may have been
+     * preempted for them, and the two would preempt each other forever. Production jobs are never
+     * preempted back.
      */
     private boolean mayPreemptLowerRank(Victim victim) {
       boolean production = rank == JobSpec.Rank.PRODUCTION.number();
@@ -166,22 +167,22 @@
     }
 
     private boolean claimBorrowed(Victim victim) {
-      double left = borrowed.getOrDefault(victim.team(), 0.0);
-      if (left < victim.cpus()) {
+      double remaining = unclaimedBorrowedCpus.getOrDefault(victim.team(), 0.0);
+      if (remaining < victim.cpus()) {
         return false;
       }
-      borrowed.put(victim.team(), left - victim.cpus());
+      unclaimedBorrowedCpus.put(victim.team(), remaining - victim.cpus());
       return true;
     }
   }
 
-  /** All that has to be stopped for these evictions, by machine: a gang always as a whole. */
+  /** Returns the tasks to stop for these evictions by machine; a gang always as a whole. */
   Map<String, List<Victim>> victimsByMachine(List<Eviction> evictions) {
     Map<String, List<Victim>> byMachine = new TreeMap<>();
-    Set<String> received = new HashSet<>();
+    Set<String> addedGangs = new HashSet<>();
     for (Eviction eviction : evictions) {
       for (Victim victim : eviction.victims()) {
-        if (victim.gang().isEmpty() || received.add(victim.gang())) {
+        if (victim.gang().isEmpty() || addedGangs.add(victim.gang())) {
           preemptedTogether(victim)
               .forEach(v -> byMachine.computeIfAbsent(v.machine(), m -> new ArrayList<>()).add(v));
         }
@@ -194,7 +195,7 @@
     return new Attempt(victim.job(), victim.task(), victim.attempt());
   }
 
-  /** Whether the job fits its team's guarantee together with the team's earlier unfinished jobs. */
+  /** Returns whether the team's guarantee covers the job and the team's earlier unfinished jobs. */
   private static boolean withinGuarantee(Team team, Job job) {
     double cpus = 0;
     double gpus = 0;
--- a/src/main/java/org/sandford/job/Preemptor.java
+++ b/src/main/java/org/sandford/job/Preemptor.java
@@ -17,9 +17,9 @@
 import org.sandford.settings.Settings;
 
 /**
- * Preempts for jobs that found no place: it asks the machines' owners to stop others' tasks, where
- * the users allow it, and to reserve free resources for a job until it has enough. What is freed
- * shows in later snapshots and is planned then. Runs on the event loop.
+ * Frees resources for jobs that could not be placed. Asks the machines' owners to stop tasks of
+ * other jobs, where the rules allow it, and to reserve free resources for a job until it has
+ * enough. Freed resources appear in later snapshots and are planned then. Runs on the event loop.
  */
 final class Preemptor {
   private final EventLoop loop;
@@ -28,15 +28,15 @@
   private final PeerLinks links;
   private final Planner planner;
 
-  /** Attempts whose preemption was requested lately, and when, in milliseconds. */
-  private final Map<Attempt, Long> preemptedAtMs = new HashMap<>();
+  /** The time of each recently requested preemption by attempt, in milliseconds. */
+  private final Map<Attempt, Long> preemptionRequestedAtMs = new HashMap<>();
 
-  /** What runs on all machines; null until a job of the round needs it. */
-  private PreemptibleTasks tasks;
+  /** The tasks on all machines; null until a job of the round needs them. */
+  private PreemptibleTasks preemptibleTasks;
 
-  private boolean mayPreempt;
-  private int searches;
-  private long roundAtMs;
+  private boolean scanAllowed;
+  private int searchCount;
+  private long roundStartedAtMs;
   private long nextScanAtMs;
   private long nextReservationAtMs;
 
@@ -54,97 +54,103 @@
   }
 
   /**
-   * Begins a planning round: all machines are scanned once in it at the most, and only for a job
-   * that needs it.
+   * Begins a planning round. All machines are scanned at most once per round, and only if a job
+   * needs the scan.
    */
   void beginRound() {
-    roundAtMs = loop.millis();
-    mayPreempt = roundAtMs >= nextScanAtMs;
-    searches = 0;
-    tasks = null;
+    roundStartedAtMs = loop.millis();
+    scanAllowed = roundStartedAtMs >= nextScanAtMs;
+    searchCount = 0;
+    preemptibleTasks = null;
   }
 
   /**
-   * Preempts others' tasks for the job if that completes its plan, or, unless it must start whole,
-   * a part of it.
+   * Preempts tasks of other jobs if that completes the job's plan, or, unless all tasks must start
+   * together, a part of it.
    */
-  void preempt(Team team, Job job, int count, List<CandidateMachine> usable, boolean whole) {
-    if (!mayPreempt
+  void preempt(
+      Team team, Job job, int taskCount, List<CandidateMachine> usableMachines, boolean allOrNone) {
+    if (!scanAllowed
         || !job.mayPreempt(loop.millis())
-        || searches >= JobConstants.MAX_PREEMPTION_SEARCHES) {
+        || searchCount >= JobConstants.MAX_PREEMPTION_SEARCHES) {
       return;
     }
-    List<Preemption.Victim> victims = tasks().victims(team, job, preemptedAtMs::containsKey);
+    List<Preemption.Victim> victims =
+        preemptibleTasks().victimsFor(team, job, preemptionRequestedAtMs::containsKey);
     if (victims.isEmpty()) {
       return;
     }
-    searches++;
+    searchCount++;
     job.preemptionRequested(loop.millis());
     List<Preemption.Eviction> evictions =
-        Preemption.choose(job.resourceRequest(), count, usable, victims, whole);
+        Preemption.choose(job.resourceRequest(), taskCount, usableMachines, victims, allOrNone);
     if (evictions != null) {
-      evict(team, job, evictions);
+      requestEvictions(team, job, evictions);
     }
   }
 
-  private PreemptibleTasks tasks() {
-    if (tasks == null) {
-      nextScanAtMs = roundAtMs + JobConstants.PREEMPTION_SCAN_MS;
-      preemptedAtMs.values().removeIf(at -> loop.millis() - at > JobConstants.RESERVATION_MS);
-      tasks = new PreemptibleTasks(machineSnapshots, settings.facts(), loop.nanos());
+  private PreemptibleTasks preemptibleTasks() {
+    if (preemptibleTasks == null) {
+      nextScanAtMs = roundStartedAtMs + JobConstants.PREEMPTION_SCAN_MS;
+      preemptionRequestedAtMs
+          .values()
+          .removeIf(at -> loop.millis() - at > JobConstants.RESERVATION_MS);
+      preemptibleTasks = new PreemptibleTasks(machineSnapshots, settings.facts(), loop.nanos());
     }
-    return tasks;
+    return preemptibleTasks;
   }
 
-  private void evict(Team team, Job job, List<Preemption.Eviction> evictions) {
-    Map<String, List<Preemption.Victim>> victimsByMachine = tasks.victimsByMachine(evictions);
+  private void requestEvictions(Team team, Job job, List<Preemption.Eviction> evictions) {
+    Map<String, List<Preemption.Victim>> victimsByMachine =
+        preemptibleTasks.victimsByMachine(evictions);
     for (Preemption.Eviction eviction : evictions) {
       CandidateMachine candidate = eviction.candidate();
-      allocate(candidate, job, eviction.tasks());
-      List<Preemption.Victim> victimsThere = victimsByMachine.remove(candidate.machine);
-      request(
+      deductResources(candidate, job, eviction.tasks());
+      List<Preemption.Victim> victimsOnMachine = victimsByMachine.remove(candidate.machine);
+      sendPreemptRequest(
           team,
           job,
           candidate.owner,
           candidate.machine,
           eviction.tasks(),
-          victimsThere == null ? List.of() : victimsThere);
+          victimsOnMachine == null ? List.of() : victimsOnMachine);
     }
-    // What is left are tasks of gangs that lose one elsewhere: only a gang that is stopped as a
-    // whole can save a checkpoint.
+    // The remaining victims belong to gangs that lose a task on another machine. The whole gang is
+    // stopped, since it can save a checkpoint only as a whole.
     victimsByMachine.forEach(
-        (machine, victimsThere) -> {
-          MachineSnapshots.ReceivedSnapshot seen = machineSnapshots.get(machine);
-          if (seen != null) {
-            request(team, job, seen.owner(), machine, 0, victimsThere);
+        (machine, victimsOnMachine) -> {
+          MachineSnapshots.ReceivedSnapshot received = machineSnapshots.get(machine);
+          if (received != null) {
+            sendPreemptRequest(team, job, received.owner(), machine, 0, victimsOnMachine);
           }
         });
   }
 
-  private static void allocate(CandidateMachine candidate, Job job, int count) {
+  private static void deductResources(CandidateMachine candidate, Job job, int taskCount) {
     JobSpec spec = job.spec;
-    candidate.take(count * spec.cpus(), count * spec.gpus(), count * spec.ram());
+    candidate.take(taskCount * spec.cpus(), taskCount * spec.gpus(), taskCount * spec.ram());
   }
 
   /**
-   * Reserves the free resources that there are for a job that waited long for enough of them at
-   * once: small jobs take each place as it falls free, and a large one would never begin. One job
-   * at a time, the first of the queue, whose order is the same for all controllers.
+   * Reserves free resources for a job that has long waited for enough of them at once. Otherwise
+   * small jobs would take all that becomes free, and a large one would never start. Reserves for
+   * one job at a time, the first of the queue, whose order is the same on all controllers.
    */
-  void reserveFreeResources(Team team, Job job, int count, List<CandidateMachine> usable) {
-    if (roundAtMs < nextReservationAtMs) {
+  void reserveFreeResources(
+      Team team, Job job, int taskCount, List<CandidateMachine> usableMachines) {
+    if (roundStartedAtMs < nextReservationAtMs) {
       return;
     }
-    nextReservationAtMs = roundAtMs + JobConstants.RESERVE_INTERVAL_MS;
-    Planner.Plan plan = planner.place(job.resourceRequest(), count, usable, false);
+    nextReservationAtMs = roundStartedAtMs + JobConstants.RESERVE_INTERVAL_MS;
+    Planner.Plan plan = planner.place(job.resourceRequest(), taskCount, usableMachines, false);
     if (plan != null) {
       plan.slots().forEach(slot -> requestReservation(team, job, slot));
     }
   }
 
   /**
-   * Reserves the slots of the gang's plan at the machines' owners; it starts once all controllers
-   * know of the reservations.
+   * Reserves the slots of the gang's plan at the machines' owners. The gang starts once all
+   * controllers have seen the reservations.
    */
   void reserve(Team team, Job gang, Planner.Plan plan) {
     releaseReservation(team, gang);
@@ -158,38 +164,41 @@
   }
 
   private void requestReservation(Team team, Job job, Planner.Slot slot) {
-    request(team, job, slot.candidate().owner, slot.candidate().machine, slot.tasks(), List.of());
+    sendPreemptRequest(
+        team, job, slot.candidate().owner, slot.candidate().machine, slot.tasks(), List.of());
   }
 
-  /** Whether the gang's reservation holds for long enough to start it. */
+  /** Returns whether the gang's reservation stays valid for long enough to start the gang. */
   boolean hasReservation(Job gang) {
     return gang.reservation.isValid(loop.millis());
   }
 
-  /** The gang starts with this plan: what is reserved for it elsewhere is released. */
+  /** Releases the gang's reservations on machines that the plan does not use. */
   void releaseUnused(Team team, Job gang, Planner.Plan plan) {
-    plan.slots().forEach(slot -> gang.reservation.use(slot.candidate().machine));
+    plan.slots().forEach(slot -> gang.reservation.markUsed(slot.candidate().machine));
     releaseReservation(team, gang);
   }
 
-  /** Releases at once what is reserved for a gang that cannot start with it. */
+  /** Releases all reservations of the gang immediately. */
   void releaseReservation(Team team, Job gang) {
-    gang.reservation.release((machine, owner) -> request(team, gang, owner, machine, 0, List.of()));
+    gang.reservation.releaseAll(
+        (machine, owner) -> sendPreemptRequest(team, gang, owner, machine, 0, List.of()));
   }
 
   /**
-   * Asks the machine's owner to preempt the victims, and to reserve resources for so many tasks of
-   * the job; none releases its reservation.
+   * Asks the machine's owner to preempt the victims and to reserve resources for {@code taskCount}
+   * tasks of the job. A count of 0 releases the job's reservation.
    */
-  private void request(
+  private void sendPreemptRequest(
       Team team,
       Job job,
       String owner,
       String machine,
-      int count,
+      int taskCount,
       List<Preemption.Victim> victims) {
     JobSpec spec = job.spec;
-    victims.forEach(victim -> preemptedAtMs.put(PreemptibleTasks.attemptOf(victim), loop.millis()));
+    victims.forEach(
+        victim -> preemptionRequestedAtMs.put(PreemptibleTasks.attemptOf(victim), loop.millis()));
     links.request(
         owner,
         new Preempt(
@@ -198,9 +207,9 @@
             spec.id(),
             spec.rank().number(),
             job.acceptedAt,
-            count * spec.cpus(),
-            count * spec.gpus(),
-            count * spec.ram(),
+            taskCount * spec.cpus(),
+            taskCount * spec.gpus(),
+            taskCount * spec.ram(),
             victims.stream().map(v -> new Victim(v.job(), v.task(), v.attempt())).toList(),
             JobConstants.PREEMPTION_GRACE_S));
   }
--- a/src/main/java/org/sandford/job/QuotaUse.java
+++ b/src/main/java/org/sandford/job/QuotaUse.java
@@ -1,28 +1,28 @@
 package org.sandford.job;
 
 /**
- * Counts what each owned team uses of its quota: its jobs' placements, tasks that belong to no
- * known attempt, and, until the team has recovered, what cancelled jobs may still hold unseen. Runs
+ * Counts the quota use of each owned team: the placements of its jobs, untracked tasks, and, until
+ * the team has recovered, an upper bound for tasks of cancelled jobs that were not reported. Runs
  * on the event loop.
  */
 final class QuotaUse {
   private final OwnedJobs owned;
-  private final UntrackedTasks untracked;
-  private final CancelledJobs cancelled;
+  private final UntrackedTasks untrackedTasks;
+  private final CancelledJobs cancelledJobs;
 
-  QuotaUse(OwnedJobs owned, UntrackedTasks untracked, CancelledJobs cancelled) {
+  QuotaUse(OwnedJobs owned, UntrackedTasks untrackedTasks, CancelledJobs cancelledJobs) {
     this.owned = owned;
-    this.untracked = untracked;
-    this.cancelled = cancelled;
+    this.untrackedTasks = untrackedTasks;
+    this.cancelledJobs = cancelledJobs;
   }
 
-  /** Counts all teams' use anew; placements that follow adjust it. */
+  /** Recounts the use of all teams. Later placements adjust the counts. */
   void recount() {
     owned.teams().values().forEach(Team::recountUse);
-    untracked.addTo(owned.teams());
+    untrackedTasks.addUseTo(owned.teams());
     for (Team team : owned.teams().values()) {
       if (team.phase() != Team.Phase.READY) {
-        team.setCancelledBound(cancelled.maxHeldBy(team.name));
+        team.setCancelledBound(cancelledJobs.maxHeldBy(team.name));
       }
     }
   }
--- a/src/main/java/org/sandford/job/Resources.java
+++ b/src/main/java/org/sandford/job/Resources.java
@@ -3,11 +3,11 @@
 import org.sandford.cloud.InstanceType;
 import org.sandford.model.JobSpec;
 
-/** CPUs and accelerators that tasks use, or may use; memory has no quota. */
+/** CPUs and accelerators that tasks use or may use. Memory has no quota. */
 record Resources(double cpus, double gpus) {
   static final Resources ZERO = new Resources(0, 0);
 
-  /** For what nothing bounds. */
+  /** Resource use without a known upper bound. */
   static final Resources UNBOUNDED =
       new Resources(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
 
@@ -15,28 +15,28 @@
     return new Resources(spec.cpus(), spec.gpus());
   }
 
-  /** All that a machine of this type can hold, which is {@code null} if the type is not known. */
+  /** Returns the capacity of the type; {@link #UNBOUNDED} if it is null, which means unknown. */
   static Resources ofMachine(InstanceType instanceType) {
     return instanceType == null
         ? UNBOUNDED
         : new Resources(instanceType.cpus(), instanceType.gpus());
   }
 
-  Resources plus(Resources more) {
-    return new Resources(cpus + more.cpus, gpus + more.gpus);
+  Resources plus(Resources other) {
+    return new Resources(cpus + other.cpus, gpus + other.gpus);
   }
 
-  Resources times(int number) {
-    return new Resources(cpus * number, gpus * number);
+  Resources times(int factor) {
+    return new Resources(cpus * factor, gpus * factor);
   }
 
-  /** The smaller of both, each by itself. */
+  /** Returns the smaller value of each resource. */
   Resources atMost(Resources bound) {
     return new Resources(Math.min(cpus, bound.cpus), Math.min(gpus, bound.gpus));
   }
 
-  /** Without {@code less}, but never below zero. */
-  Resources minus(Resources less) {
-    return new Resources(Math.max(0, cpus - less.cpus), Math.max(0, gpus - less.gpus));
+  /** Returns the difference, but never less than zero of each resource. */
+  Resources minus(Resources other) {
+    return new Resources(Math.max(0, cpus - other.cpus), Math.max(0, gpus - other.gpus));
   }
 }
--- a/src/main/java/org/sandford/job/TaskStarter.java
+++ b/src/main/java/org/sandford/job/TaskStarter.java
@@ -7,8 +7,8 @@
 import org.sandford.placement.Planner;
 
 /**
- * Commits plans: each task of a plan gets an attempt, its placement is recorded, and its start is
- * requested from the machine's owner. Runs on the event loop.
+ * Commits plans. For each task of a plan, assigns an attempt, records the placement and requests
+ * the start from the machine's owner. Runs on the event loop.
  */
 final class TaskStarter {
   private final Cluster cluster;
@@ -27,15 +27,15 @@
   }
 
   /**
-   * Starts the tasks of the plan. Those whose start could not be sent wait again, once all of a
-   * gang's starts went out.
+   * Starts the tasks of the plan. Tasks whose start could not be sent wait again; for a gang, only
+   * after all its other starts were sent.
    */
   void start(Team team, Job job, Planner.Plan plan) {
     List<Integer> tasks = job.tasks.firstWaiting(plan.tasks());
     List<TaskPlacement> unsent = new ArrayList<>();
     boolean gang = job.spec.gang();
     long gangAttempt = gang ? team.nextAttempt() : 0;
-    int next = 0;
+    int nextIndex = 0;
     job.setWaitReason(WaitReason.NONE);
     for (Planner.Slot slot : plan.slots()) {
       long generation = cluster.machines().of().get(slot.candidate().machine).generation();
@@ -44,7 +44,7 @@
         TaskPlacement placement =
             new TaskPlacement(
                 job,
-                tasks.get(next++),
+                tasks.get(nextIndex++),
                 attempt,
                 slot.candidate().machine,
                 generation,
@@ -52,18 +52,18 @@
                 commands.linkEpoch(slot.candidate().owner),
                 slot.candidate().zone,
                 TaskPhase.REQUESTED);
-        if (!start(team, placement)) {
+        if (!recordAndRequestStart(team, placement)) {
           unsent.add(placement);
         }
       }
     }
     if (gang) {
-      gangs.started(job);
+      gangs.startsRequested(job);
     }
     unsent.forEach(ledger::release);
   }
 
-  private boolean start(Team team, TaskPlacement placement) {
+  private boolean recordAndRequestStart(Team team, TaskPlacement placement) {
     ledger.record(placement);
     audit.startRequested(
         placement.job.spec.id(),
--- a/src/main/java/org/sandford/job/UntrackedTasks.java
+++ b/src/main/java/org/sandford/job/UntrackedTasks.java
@@ -14,70 +14,70 @@
 import org.sandford.peer.wire.TaskState;
 
 /**
- * Tasks on machines that belong to a team of this controller, but to no attempt that it tracks. A
- * job that was cancelled under a former owner is not among the open jobs that its successor loads,
- * and still its tasks use resources until they are gone. They count against the team's limit like
- * any other.
+ * Tasks on machines that belong to a team of this controller but to no attempt that it tracks. A
+ * job that was cancelled under a former owner is not among the open jobs that the new owner loads,
+ * yet its tasks use resources until they are gone. They count against the team's limit like any
+ * other.
  *
- * <p>Only machines with such tasks are stored, so counting them does not cost a step for each
- * machine. Used on the event loop.
+ * <p>Stores only machines with such tasks, so that counting does not iterate over all machines.
+ * Used on the event loop.
  */
 final class UntrackedTasks {
   /**
-   * A machine with such tasks.
+   * The untracked tasks on one machine.
    *
-   * @param spare what tasks of unknown size may use there at the most
+   * @param freeResources the most that tasks of unknown size may use on the machine
    */
-  private record OnMachine(List<TaskSnapshot> tasks, Resources spare) {}
+  private record MachineTasks(List<TaskSnapshot> tasks, Resources freeResources) {}
 
-  /** What a snapshot says of a task that its machine's owner does not know the job of. */
+  /** The team in a snapshot of a task whose job the machine's owner does not know. */
   private static final String UNKNOWN_TEAM = "";
 
   private final OwnedJobs owned;
   private final JobReader jobReader;
-  private final Function<String, InstanceType> instanceTypes;
-  private final Map<String, OnMachine> machines = new HashMap<>();
+  private final Function<String, InstanceType> instanceTypeByName;
+  private final Map<String, MachineTasks> byMachine = new HashMap<>();
 
   UntrackedTasks(
-      OwnedJobs owned, JobReader jobReader, Function<String, InstanceType> instanceTypes) {
+      OwnedJobs owned, JobReader jobReader, Function<String, InstanceType> instanceTypeByName) {
     this.owned = owned;
     this.jobReader = jobReader;
-    this.instanceTypes = instanceTypes;
+    this.instanceTypeByName = instanceTypeByName;
   }
 
   /**
-   * Takes in a machine's snapshot. A reconciled one names all that the machine holds; what another
-   * one lacks may still be there.
+   * Updates the machine's untracked tasks from its snapshot. A reconciled snapshot lists all tasks
+   * on the machine. Tasks that any other snapshot lacks are kept, since they may still run.
    */
   void update(MachineSnapshot snapshot) {
     List<TaskSnapshot> untracked = new ArrayList<>();
-    OnMachine before = machines.get(snapshot.machine);
-    if (!snapshot.reconciled && before != null) {
-      untracked.addAll(before.tasks);
+    MachineTasks previous = byMachine.get(snapshot.machine);
+    if (!snapshot.reconciled && previous != null) {
+      untracked.addAll(previous.tasks);
     }
     for (TaskSnapshot task : snapshot.tasks) {
       if (countsAsUntracked(task)
-          && untracked.stream().noneMatch(known -> sameAttempt(known, task))) {
+          && untracked.stream().noneMatch(other -> sameAttempt(other, task))) {
         untracked.add(task);
       }
     }
     if (untracked.isEmpty()) {
-      machines.remove(snapshot.machine);
+      byMachine.remove(snapshot.machine);
     } else {
-      machines.put(snapshot.machine, new OnMachine(untracked, spare(snapshot)));
+      byMachine.put(snapshot.machine, new MachineTasks(untracked, freeResources(snapshot)));
     }
   }
 
-  /** The machine left the assignment map, and all that was on it is gone. */
+  /** Removes a machine that left the assignment map, and whose tasks are gone. */
   void machineRemoved(String machine) {
-    machines.remove(machine);
+    byMachine.remove(machine);
   }
 
   private static boolean sameAttempt(TaskSnapshot a, TaskSnapshot b) {
     return Attempt.of(a).equals(Attempt.of(b));
   }
 
-  /** Whether the task is on its machine, perhaps of an owned team, and counted nowhere else. */
+  /** Returns whether a task that has not exited may be of an owned team and is not tracked. */
   private boolean countsAsUntracked(TaskSnapshot task) {
     if (task.state == TaskState.EXITED || isTracked(task)) {
       return false;
@@ -92,55 +92,55 @@
     return placement != null && placement.attempt == task.attempt;
   }
 
-  /** The team of the task's job, or {@link #UNKNOWN_TEAM}. */
+  /** Returns the team of the task's job, or {@link #UNKNOWN_TEAM}. */
   private String teamOf(TaskSnapshot task) {
     if (!task.team.isEmpty()) {
       return task.team;
     }
-    String remembered = jobReader.teamOf(task.job);
-    return remembered == null ? UNKNOWN_TEAM : remembered;
+    String cachedTeam = jobReader.teamOf(task.job);
+    return cachedTeam == null ? UNKNOWN_TEAM : cachedTeam;
   }
 
-  private Resources spare(MachineSnapshot snapshot) {
-    Resources spare = Resources.ofMachine(instanceTypes.apply(snapshot.instanceType));
+  private Resources freeResources(MachineSnapshot snapshot) {
+    Resources freeResources = Resources.ofMachine(instanceTypeByName.apply(snapshot.instanceType));
     for (TaskSnapshot task : snapshot.tasks) {
-      if (task.state != TaskState.EXITED && hasSize(task)) {
-        spare = spare.minus(new Resources(task.cpus, task.gpus));
+      if (task.state != TaskState.EXITED && isSizeKnown(task)) {
+        freeResources = freeResources.minus(new Resources(task.cpus, task.gpus));
       }
     }
-    return spare;
+    return freeResources;
   }
 
-  private static boolean hasSize(TaskSnapshot task) {
+  private static boolean isSizeKnown(TaskSnapshot task) {
     return !task.team.isEmpty();
   }
 
-  /** Adds to each team of this controller what these tasks use, or may use. */
-  void addTo(Map<String, Team> teams) {
-    Iterator<OnMachine> each = machines.values().iterator();
-    while (each.hasNext()) {
-      OnMachine machine = each.next();
+  /** Adds the resources that these tasks use or may use to their teams. */
+  void addUseTo(Map<String, Team> teams) {
+    Iterator<MachineTasks> iterator = byMachine.values().iterator();
+    while (iterator.hasNext()) {
+      MachineTasks machine = iterator.next();
       machine.tasks.removeIf(task -> !countsAsUntracked(task));
       if (machine.tasks.isEmpty()) {
-        each.remove();
+        iterator.remove();
       } else {
-        addTo(teams, machine);
+        addUseTo(teams, machine);
       }
     }
   }
 
-  private void addTo(Map<String, Team> teams, OnMachine machine) {
-    Set<String> ofUnknownSize = new HashSet<>();
+  private void addUseTo(Map<String, Team> teams, MachineTasks machine) {
+    Set<String> teamsWithUnknownSizes = new HashSet<>();
     for (TaskSnapshot task : machine.tasks) {
       String team = teamOf(task);
-      if (hasSize(task)) {
+      if (isSizeKnown(task)) {
         teams.get(team).addUntracked(new Resources(task.cpus, task.gpus));
       } else if (!team.equals(UNKNOWN_TEAM)) {
-        ofUnknownSize.add(team);
+        teamsWithUnknownSizes.add(team);
       } else {
-        ofUnknownSize.addAll(teams.keySet());
+        teamsWithUnknownSizes.addAll(teams.keySet());
       }
     }
-    ofUnknownSize.forEach(team -> teams.get(team).addUntracked(machine.spare));
+    teamsWithUnknownSizes.forEach(team -> teams.get(team).addUntracked(machine.freeResources));
   }
 }
