--- a/src/main/java/org/sandford/job/CancelledJobs.java
+++ b/src/main/java/org/sandford/job/CancelledJobs.java
@@ -19,9 +19,9 @@
    *
    * @param team its team, empty in a record that lacks it
    * @param tasks the number of all its tasks, 0 in a record that lacks it
-   * @param at when that became known, on the steady clock in nanoseconds
+   * @param learnedAtNanos when that became known, on the steady clock in nanoseconds
    */
-  private record Cancelled(String team, int tasks, long at) {
+  private record Cancelled(String team, int tasks, long learnedAtNanos) {
     private boolean mayBelongTo(String other) {
       return team.isEmpty() || team.equals(other);
     }
@@ -33,19 +33,22 @@
 
   private final EventLoop loop;
   private final JobReader jobReader;
-  private final Supplier<MonotonicTime> completeSince;
+  private final Supplier<MonotonicTime> terminalStatesCompleteSince;
   private final long retentionNanos;
   private final Map<String, Cancelled> jobs = new LinkedHashMap<>();
 
   /**
-   * @param completeSince the moment since which no end of a job was missed here
+   * @param terminalStatesCompleteSince the moment since which no end of a job was missed here
    * @param cancelS seconds until a cancelled job's tasks are surely gone
    */
   CancelledJobs(
-      EventLoop loop, JobReader jobReader, Supplier<MonotonicTime> completeSince, double cancelS) {
+      EventLoop loop,
+      JobReader jobReader,
+      Supplier<MonotonicTime> terminalStatesCompleteSince,
+      double cancelS) {
     this.loop = loop;
     this.jobReader = jobReader;
-    this.completeSince = completeSince;
+    this.terminalStatesCompleteSince = terminalStatesCompleteSince;
     double retentionS = cancelS * (1 + TimeConstants.CLOCK_DRIFT) + TimeConstants.KILL_MARGIN_S;
     this.retentionNanos = (long) (retentionS * 1e9);
   }
@@ -57,10 +60,10 @@
     if (known == null) {
       jobs.put(job, new Cancelled(team, tasks, now));
     } else if (known.team.isEmpty()) {
-      jobs.put(job, new Cancelled(team, tasks, known.at));
+      jobs.put(job, new Cancelled(team, tasks, known.learnedAtNanos));
     }
     Iterator<Cancelled> oldest = jobs.values().iterator();
-    while (oldest.hasNext() && now - oldest.next().at > retentionNanos) {
+    while (oldest.hasNext() && now - oldest.next().learnedAtNanos > retentionNanos) {
       oldest.remove();
     }
   }
@@ -68,12 +71,12 @@
   /** The most that tasks of the team's cancelled jobs may use on machines that did not report. */
   Resources maxHeldBy(String team) {
     long now = loop.nanos();
-    if (!completeSince.get().isOlderThan(retentionNanos, now)) {
+    if (!terminalStatesCompleteSince.get().isOlderThan(retentionNanos, now)) {
       return Resources.UNBOUNDED;
     }
     Resources bound = Resources.ZERO;
     for (Map.Entry<String, Cancelled> job : jobs.entrySet()) {
-      if (now - job.getValue().at <= retentionNanos) {
+      if (now - job.getValue().learnedAtNanos <= retentionNanos) {
         bound = bound.plus(maxHeldBy(team, job.getKey(), job.getValue()));
       }
     }
@@ -84,8 +87,8 @@
     if (!cancelled.mayBelongTo(team)) {
       return Resources.ZERO;
     }
-    Resources each = jobReader.sizeOf(job);
-    boolean isBounded = each != null && cancelled.hasTaskCount();
-    return isBounded ? each.times(cancelled.tasks) : Resources.UNBOUNDED;
+    Resources taskSize = jobReader.taskSizeOf(job);
+    boolean isBounded = taskSize != null && cancelled.hasTaskCount();
+    return isBounded ? taskSize.times(cancelled.tasks) : Resources.UNBOUNDED;
   }
 }
--- a/src/main/java/org/sandford/job/Job.java
+++ b/src/main/java/org/sandford/job/Job.java
@@ -39,7 +39,7 @@
     }
 
     /** A terminal state may be found in the store at any time: others write it as well. */
-    private boolean mayBecome(Phase next) {
+    private boolean canTransitionTo(Phase next) {
       return switch (next) {
         case STORING -> false;
         case OPEN -> this == STORING;
@@ -53,11 +53,11 @@
   record Clear(int task, long attempt, String machine) {}
 
   /** What is known here of the write that ends the job. */
-  private enum EndWrite {
+  private enum TerminalWrite {
     /** None is under way, and none that was can still be applied. */
     NONE,
     /** It has left for the store; the answer is awaited. */
-    UNDER_WAY,
+    IN_FLIGHT,
     /** One got no answer: it may have been applied, or may yet be. */
     UNCONFIRMED
   }
@@ -94,27 +94,27 @@
   boolean dirty;
 
   /** A write of finished tasks is due after a pause. */
-  boolean progressDue;
+  boolean progressWriteScheduled;
 
   /** The write of finished tasks that is under way or waits its turn. */
-  RecordWriter.Write progress;
+  RecordWriter.Write progressWrite;
 
   /** A write of its record is under way, or its outcome is being found out. */
   boolean writing;
 
-  private EndWrite endWrite = EndWrite.NONE;
+  private TerminalWrite terminalWrite = TerminalWrite.NONE;
 
   /**
    * Exits to acknowledge once the record says so; of a large array thousands wait at a time, and
    * every snapshot names them again, so finding one must not go through all of them.
    */
-  final Set<Clear> clears = new LinkedHashSet<>();
+  final Set<Clear> exitsToAcknowledge = new LinkedHashSet<>();
 
   /** Who waits for the answer to its submission. */
-  final List<Consumer<ApiResponse>> submitters = new ArrayList<>();
+  final List<Consumer<ApiResponse>> submissionCallbacks = new ArrayList<>();
 
   /** Who waits for the answer to its cancellation. */
-  final List<Consumer<ApiResponse>> aborters = new ArrayList<>();
+  final List<Consumer<ApiResponse>> cancellationCallbacks = new ArrayList<>();
 
   /**
    * A job whose tasks all wait.
@@ -137,39 +137,39 @@
 
   /** The one place where the job's phase changes. */
   void transitionTo(Phase next) {
-    if (!phase.mayBecome(next)) {
+    if (!phase.canTransitionTo(next)) {
       throw new IllegalStateException(spec.id() + " is " + phase + " and cannot become " + next);
     }
     phase = next;
   }
 
   /** The write that ends the job leaves for the store. */
-  void terminalStateSent() {
-    if (endWrite == EndWrite.NONE) {
-      endWrite = EndWrite.UNDER_WAY;
+  void terminalWriteSent() {
+    if (terminalWrite == TerminalWrite.NONE) {
+      terminalWrite = TerminalWrite.IN_FLIGHT;
     }
   }
 
   /** The write that left last was surely not applied; one without an answer before it still may. */
-  void endRejected() {
-    if (endWrite == EndWrite.UNDER_WAY) {
-      endWrite = EndWrite.NONE;
+  void terminalWriteRejected() {
+    if (terminalWrite == TerminalWrite.IN_FLIGHT) {
+      terminalWrite = TerminalWrite.NONE;
     }
   }
 
   /** The write that left last got no answer. */
-  void endUnconfirmed() {
-    endWrite = EndWrite.UNCONFIRMED;
+  void terminalWriteUnconfirmed() {
+    terminalWrite = TerminalWrite.UNCONFIRMED;
   }
 
   /** Whether others may read the job's end from the store although it is not known here yet. */
-  boolean endMayBeStored() {
-    return endWrite != EndWrite.NONE;
+  boolean terminalStateMayBeStored() {
+    return terminalWrite != TerminalWrite.NONE;
   }
 
   /** The exit is acknowledged once the job's record says that its task is done. */
   void acknowledgeOnceStored(int task, long attempt, String machine) {
-    if (clears.add(new Clear(task, attempt, machine))) {
+    if (exitsToAcknowledge.add(new Clear(task, attempt, machine))) {
       dirty = true;
     }
   }
@@ -266,7 +266,7 @@
   /** The attempt is off its machine; unless the task is done, it waits again. */
   void releasePlacement(TaskPlacement placement, long now) {
     if (placements.remove(placement)) {
-      tasks.waitAgain(placement.task, now);
+      tasks.startWaiting(placement.task, now);
     }
   }
 
@@ -277,16 +277,16 @@
   /** The task is done: for a gang all are, since its tasks complete together. */
   void complete(int task) {
     if (!spec.gang()) {
-      finish(task);
+      markDone(task);
       return;
     }
     for (int each = 0; each < spec.tasks(); each++) {
-      finish(each);
+      markDone(each);
     }
   }
 
-  void finish(int task) {
-    if (tasks.finish(task)) {
+  void markDone(int task) {
+    if (tasks.markDone(task)) {
       dirty = true;
     }
   }
--- a/src/main/java/org/sandford/job/JobAcceptance.java
+++ b/src/main/java/org/sandford/job/JobAcceptance.java
@@ -42,7 +42,7 @@
   private final JobAnswers answers;
   private final JobRecordStore recordStore;
   private final JobAdoption adoption;
-  private final Submissions.Changes changes;
+  private final Submissions.Changes listener;
 
   JobAcceptance(
       EventLoop loop,
@@ -51,14 +51,14 @@
       JobAnswers answers,
       JobRecordStore recordStore,
       JobAdoption adoption,
-      Submissions.Changes changes) {
+      Submissions.Changes listener) {
     this.loop = loop;
     this.owned = owned;
     this.jobReader = jobReader;
     this.answers = answers;
     this.recordStore = recordStore;
     this.adoption = adoption;
-    this.changes = changes;
+    this.listener = listener;
   }
 
   /** Accepts a job of a team that this controller owns. */
@@ -75,23 +75,23 @@
     }
     Job existing = owned.job(spec.id());
     if (existing != null) {
-      answerRepeated(existing, answer);
+      answerRepeatedSubmission(existing, answer);
       return;
     }
-    if (recordStore.overloaded()) {
+    if (recordStore.isOverloaded()) {
       answer.accept(OVERLOADED);
       return;
     }
     Team team = owned.team(spec.team());
     Job job = new Job(spec, loop.wallMillis(), false, Job.Phase.STORING, loop.nanos());
-    job.submitters.add(answer);
-    owned.adopt(team, job);
+    job.submissionCallbacks.add(answer);
+    owned.add(team, job);
     createRecord(job);
   }
 
-  private void answerRepeated(Job existing, Consumer<ApiResponse> answer) {
+  private void answerRepeatedSubmission(Job existing, Consumer<ApiResponse> answer) {
     if (existing.phase() == Job.Phase.STORING) {
-      existing.submitters.add(answer);
+      existing.submissionCallbacks.add(answer);
     } else {
       answerRepeatedFromStore(existing.spec.id(), answer);
     }
@@ -108,48 +108,48 @@
   }
 
   private void recordCreated(Job job, TransactionResult result) {
-    if (!owned.holds(job)) {
+    if (!owned.isCurrent(job)) {
       return;
     }
     switch (result.outcome()) {
-      case APPLIED -> accepted(job, result.revision(), HttpStatus.CREATED);
-      case REFUSED -> giveUp(job, unavailable("the job could not be stored"));
+      case APPLIED -> markAccepted(job, result.revision(), HttpStatus.CREATED);
+      case REFUSED -> rejectSubmission(job, unavailable("the job could not be stored"));
       case CONFLICT -> {
         if (result.failed().contains(Cluster.TEAMS_KEY)) {
-          giveUp(job, unavailable("the teams' owners change"));
+          rejectSubmission(job, unavailable("the teams' owners change"));
         } else {
           readBack(job);
         }
       }
       case UNKNOWN -> {
-        answerSubmitters(job, unavailable("it is not known whether the job was stored"));
+        answerSubmissions(job, unavailable("it is not known whether the job was stored"));
         loop.after(StoreConstants.STORE_RETRY_MS, () -> readBack(job));
       }
     }
   }
 
   /** The job was surely not stored. */
-  private void giveUp(Job job, ApiResponse refusal) {
-    owned.discard(job);
-    answerSubmitters(job, refusal);
+  private void rejectSubmission(Job job, ApiResponse refusal) {
+    owned.remove(job);
+    answerSubmissions(job, refusal);
   }
 
-  private void accepted(Job job, long revision, int status) {
+  private void markAccepted(Job job, long revision, int status) {
     job.revision = revision;
     job.transitionTo(Job.Phase.OPEN);
     log.debug("job accepted job={}", job.spec.id());
-    answerSubmitters(job, acceptedResponse(job.spec.id(), status, revision));
-    changes.jobsChanged();
+    answerSubmissions(job, acceptedResponse(job.spec.id(), status, revision));
+    listener.jobsChanged();
   }
 
   private static ApiResponse acceptedResponse(String id, int status, long revision) {
     return ApiResponse.of(status, JobStatus.accepted(id), new Provenance.StoreWrite(revision));
   }
 
-  private static void answerSubmitters(Job job, ApiResponse answer) {
-    List<Consumer<ApiResponse>> waiting = new ArrayList<>(job.submitters);
-    job.submitters.clear();
-    waiting.forEach(submitter -> submitter.accept(answer));
+  private static void answerSubmissions(Job job, ApiResponse answer) {
+    List<Consumer<ApiResponse>> waiting = new ArrayList<>(job.submissionCallbacks);
+    job.submissionCallbacks.clear();
+    waiting.forEach(callback -> callback.accept(answer));
   }
 
   /** The store holds a job of this id, or may: it is read before anything else is written. */
@@ -159,30 +159,30 @@
           job.spec.id(),
           found -> {
             if (isBeingStored(job)) {
-              reconcile(job, found);
+              applyReadResult(job, found);
             }
           });
     }
   }
 
   private boolean isBeingStored(Job job) {
-    return owned.holds(job) && job.phase() == Job.Phase.STORING;
+    return owned.isCurrent(job) && job.phase() == Job.Phase.STORING;
   }
 
-  private void reconcile(Job job, JobReadResult found) {
+  private void applyReadResult(Job job, JobReadResult found) {
     if (found instanceof JobReadResult.Open open) {
       if (isRecordOf(job, open)) {
-        accepted(job, open.revision(), HttpStatus.OK);
+        markAccepted(job, open.revision(), HttpStatus.OK);
       } else {
-        replaceByStored(job, open);
+        adoptStoredJob(job, open);
       }
     } else if (found instanceof JobReadResult.Terminal) {
-      owned.discard(job);
-      answers.ended(job.spec.id()).ifPresent(ended -> answerSubmitters(job, ended));
+      owned.remove(job);
+      answers.ended(job.spec.id()).ifPresent(ended -> answerSubmissions(job, ended));
     } else if (found instanceof JobReadResult.Absent) {
       createRecord(job);
     } else {
-      answerSubmitters(job, unavailable("the store does not answer"));
+      answerSubmissions(job, unavailable("the store does not answer"));
       loop.after(StoreConstants.STORE_RETRY_MS, () -> readBack(job));
     }
   }
@@ -196,12 +196,12 @@
   }
 
   /** The id was used before, perhaps with another body: that first one is the job. */
-  private void replaceByStored(Job job, JobReadResult.Open open) {
+  private void adoptStoredJob(Job job, JobReadResult.Open open) {
     // Some of its submitters came after this read had begun, so it cannot answer them.
-    List<Consumer<ApiResponse>> submitters = new ArrayList<>(job.submitters);
-    owned.discard(job);
+    List<Consumer<ApiResponse>> submissionCallbacks = new ArrayList<>(job.submissionCallbacks);
+    owned.remove(job);
     adoption.adoptIfUnknown(open);
-    submitters.forEach(submitter -> answerRepeatedFromStore(job.spec.id(), submitter));
+    submissionCallbacks.forEach(callback -> answerRepeatedFromStore(job.spec.id(), callback));
   }
 
   /**
@@ -209,15 +209,15 @@
    * Only the owner ever starts its tasks; a key that all controllers watch tells it of the job.
    */
   void storeOnBehalfOfOwner(JobSpec spec, Consumer<ApiResponse> answer) {
-    if (recordStore.overloaded()) {
+    if (recordStore.isOverloaded()) {
       answer.accept(OVERLOADED);
       return;
     }
     recordStore.createForOwner(
-        spec, loop.wallMillis(), result -> storedForOwner(spec, result, answer));
+        spec, loop.wallMillis(), result -> recordCreatedForOwner(spec, result, answer));
   }
 
-  private void storedForOwner(
+  private void recordCreatedForOwner(
       JobSpec spec, TransactionResult result, Consumer<ApiResponse> answer) {
     switch (result.outcome()) {
       case APPLIED -> {
--- a/src/main/java/org/sandford/job/JobAdoption.java
+++ b/src/main/java/org/sandford/job/JobAdoption.java
@@ -22,7 +22,7 @@
   private final TerminalStates terminalStates;
   private final JobReader jobReader;
   private final JobRecordStore recordStore;
-  private final Submissions.Changes changes;
+  private final Submissions.Changes listener;
 
   JobAdoption(
       EventLoop loop,
@@ -31,19 +31,19 @@
       TerminalStates terminalStates,
       JobReader jobReader,
       JobRecordStore recordStore,
-      Submissions.Changes changes) {
+      Submissions.Changes listener) {
     this.loop = loop;
     this.cluster = cluster;
     this.owned = owned;
     this.terminalStates = terminalStates;
     this.jobReader = jobReader;
     this.recordStore = recordStore;
-    this.changes = changes;
+    this.listener = listener;
   }
 
   /** Takes up all jobs that keys in the store tell of. */
   void adoptNewJobs() {
-    new TreeMap<>(cluster.newJobs()).forEach((id, added) -> adoptNewJob(id, added.team()));
+    new TreeMap<>(cluster.newJobs()).forEach((id, newJob) -> adoptNewJob(id, newJob.team()));
   }
 
   /** Takes up a job that another controller stored, and removes the key that told of it. */
@@ -59,24 +59,24 @@
       return;
     }
     if (known != null || terminalStates.contains(id)) {
-      removeAddedKey(id);
+      removeNewJobKey(id);
       return;
     }
     jobReader.read(
         id,
         found -> {
           if (owned.team(teamName) == team && team.isServed()) {
-            takeRead(id, found);
+            adoptReadResult(id, found);
           }
         });
   }
 
-  private void takeRead(String id, JobReadResult found) {
+  private void adoptReadResult(String id, JobReadResult found) {
     if (found instanceof JobReadResult.Open open) {
       adoptIfUnknown(open);
-      removeAddedKey(id);
+      removeNewJobKey(id);
     } else if (found instanceof JobReadResult.Terminal) {
-      removeAddedKey(id);
+      removeNewJobKey(id);
     } else {
       log.debug("added job not readable job={}", id);
     }
@@ -92,14 +92,14 @@
       return;
     }
     Job job = Job.inherited(stored, loop.nanos());
-    owned.adopt(team, job);
-    changes.jobFound(job);
+    owned.add(team, job);
+    listener.jobFound(job);
   }
 
-  private void removeAddedKey(String id) {
-    Cluster.NewJob added = cluster.newJobs().get(id);
-    if (added != null) {
-      recordStore.removeAddedKey(id, added.revision());
+  private void removeNewJobKey(String id) {
+    Cluster.NewJob newJob = cluster.newJobs().get(id);
+    if (newJob != null) {
+      recordStore.removeNewJobKey(id, newJob.revision());
     }
   }
 }
--- a/src/main/java/org/sandford/job/JobAnswers.java
+++ b/src/main/java/org/sandford/job/JobAnswers.java
@@ -58,11 +58,12 @@
     // whose answers to that can be quicker than the writer's own.
     if (job == null
         || job.phase() == Job.Phase.STORING
-        || job.endMayBeStored()
+        || job.terminalStateMayBeStored()
         || owned.refusalFor(job.spec.team()) != null) {
       return Optional.empty();
     }
-    return Optional.of(ApiResponse.of(HttpStatus.OK, job.status(), owned.memory(job.spec.team())));
+    return Optional.of(
+        ApiResponse.of(HttpStatus.OK, job.status(), owned.ownerMemory(job.spec.team())));
   }
 
   /**
--- a/src/main/java/org/sandford/job/JobCancellation.java
+++ b/src/main/java/org/sandford/job/JobCancellation.java
@@ -41,13 +41,13 @@
           ApiResponse.later(
               503, "the job is just being stored", ApiConstants.RETRY_AFTER_NO_AUTHORITY_S));
     } else {
-      abort(job, answer);
+      cancelOwned(job, answer);
     }
     return true;
   }
 
-  private void abort(Job job, Consumer<ApiResponse> answer) {
-    job.aborters.add(answer);
+  private void cancelOwned(Job job, Consumer<ApiResponse> answer) {
+    job.cancellationCallbacks.add(answer);
     if (job.phase() == Job.Phase.OPEN && !job.allDone()) {
       job.transitionTo(Job.Phase.ABORTING);
       job.placements().forEach(placement -> commands.stop(placement, 0));
--- a/src/main/java/org/sandford/job/JobReader.java
+++ b/src/main/java/org/sandford/job/JobReader.java
@@ -49,7 +49,7 @@
   }
 
   /** What each task of the job holds, which never changes; null when it is not cached. */
-  Resources sizeOf(String job) {
+  Resources taskSizeOf(String job) {
     ImmutableFacts facts = factsByJob.getIfPresent(job);
     return facts == null ? null : facts.taskSize;
   }
@@ -60,15 +60,15 @@
   }
 
   /**
-   * Reads a job. {@code done} runs once; it gets {@link JobReadResult.Unavailable} when the store
-   * does not answer.
+   * Reads a job. {@code onResult} runs once; it gets {@link JobReadResult.Unavailable} when the
+   * store does not answer.
    */
-  public void read(String job, Consumer<JobReadResult> done) {
+  public void read(String job, Consumer<JobReadResult> onResult) {
     readRecord(
         OpenJobReader.OPEN_PREFIX + job,
-        entry -> done.accept(openJob(job, entry)),
-        () -> readTerminalRecord(job, done),
-        done);
+        entry -> onResult.accept(openJob(job, entry)),
+        () -> readTerminalRecord(job, onResult),
+        onResult);
   }
 
   private void readRecord(
@@ -96,12 +96,12 @@
     return JobRecordCodec.openJob(spec, entry);
   }
 
-  private void readTerminalRecord(String job, Consumer<JobReadResult> done) {
+  private void readTerminalRecord(String job, Consumer<JobReadResult> onResult) {
     readRecord(
         OpenJobReader.TERMINAL_PREFIX + job,
-        entry -> done.accept(terminalJob(job, entry)),
-        () -> done.accept(ABSENT),
-        done);
+        entry -> onResult.accept(terminalJob(job, entry)),
+        () -> onResult.accept(ABSENT),
+        onResult);
   }
 
   private JobReadResult terminalJob(String job, StoreClient.Entry entry) {
--- a/src/main/java/org/sandford/job/JobRecordCodec.java
+++ b/src/main/java/org/sandford/job/JobRecordCodec.java
@@ -19,7 +19,7 @@
   private static final String TERMINAL_STATE = "s";
   private static final String TERMINAL_TEAM = "t";
   private static final String TERMINAL_TASKS = "n";
-  private static final String ADDED_TEAM = "t";
+  private static final String NEW_JOB_TEAM = "t";
 
   /** Bytes that the finished tasks' field name and the punctuation around it take at most. */
   private static final int FINISHED_TASKS_OVERHEAD_BYTES = 16;
@@ -86,7 +86,7 @@
   }
 
   /** The value of the key that tells a team's owner of a job stored on its behalf. */
-  static ObjectNode addedKeyValue(String team) {
-    return Json.object().put(ADDED_TEAM, team);
+  static ObjectNode newJobKeyValue(String team) {
+    return Json.object().put(NEW_JOB_TEAM, team);
   }
 }
--- a/src/main/java/org/sandford/job/JobRecordStore.java
+++ b/src/main/java/org/sandford/job/JobRecordStore.java
@@ -37,13 +37,13 @@
   }
 
   /** Whether a new record would wait too long for the store. */
-  boolean overloaded() {
+  boolean isOverloaded() {
     double perSecond = settings.facts().stateWriteRps() * StoreConstants.STORE_RATE_SHARE;
     return writer.backlog() >= perSecond * ApiConstants.MAX_QUEUED_RECORDS_S;
   }
 
   /** Creates the record of a new job of a team that this controller owns. */
-  void create(Job job, Consumer<TransactionResult> done) {
+  void create(Job job, Consumer<TransactionResult> onResult) {
     String id = job.spec.id();
     ObjectNode record = openRecord(job);
     Map<String, Long> conditions = idNeverUsed(id);
@@ -53,7 +53,7 @@
             conditions,
             List.of(Op.put(OpenJobReader.OPEN_PREFIX + id, record)),
             RecordWriter.WriteKind.NEW_JOB,
-            done));
+            onResult));
   }
 
   /**
@@ -62,7 +62,7 @@
    *
    * @param acceptedAt the time of day, in milliseconds
    */
-  void createForOwner(JobSpec spec, long acceptedAt, Consumer<TransactionResult> done) {
+  void createForOwner(JobSpec spec, long acceptedAt, Consumer<TransactionResult> onResult) {
     ObjectNode record =
         JobRecordCodec.openRecord(
             spec, acceptedAt, TaskRanges.empty(), settings.facts().stateValueBytes());
@@ -71,9 +71,9 @@
             idNeverUsed(spec.id()),
             List.of(
                 Op.put(OpenJobReader.OPEN_PREFIX + spec.id(), record),
-                Op.put(Cluster.newJobKey(spec.id()), JobRecordCodec.addedKeyValue(spec.team()))),
+                Op.put(Cluster.newJobKey(spec.id()), JobRecordCodec.newJobKeyValue(spec.team()))),
             RecordWriter.WriteKind.NEW_JOB,
-            done));
+            onResult));
   }
 
   /** The record of the job as it is now, with as many finished tasks as fit. */
@@ -83,22 +83,23 @@
   }
 
   /** Replaces the record of an open job; the write may be withdrawn until it is sent. */
-  RecordWriter.Write replace(Job job, ObjectNode record, Consumer<TransactionResult> done) {
+  RecordWriter.Write progressWrite(
+      Job job, ObjectNode record, Consumer<TransactionResult> onResult) {
     return new RecordWriter.Write(
         recordUnchanged(job),
         List.of(Op.put(OpenJobReader.OPEN_PREFIX + job.spec.id(), record)),
         RecordWriter.WriteKind.PROGRESS,
-        done);
+        onResult);
   }
 
   /**
    * Replaces the record of an open job by its terminal record.
    *
-   * @param sent gets the revision of the teams' assignment that the write requires, when it is put
-   *     into a transaction: from then on it may be applied
+   * @param onSent gets the revision of the teams' assignment that the write requires, when it is
+   *     put into a transaction: from then on it may be applied
    */
-  void replaceByTerminal(
-      Job job, TerminalState state, LongConsumer sent, Consumer<TransactionResult> done) {
+  void replaceWithTerminalRecord(
+      Job job, TerminalState state, LongConsumer onSent, Consumer<TransactionResult> onResult) {
     String id = job.spec.id();
     long teamsRevision = cluster.teams().revision();
     writer.write(
@@ -110,12 +111,12 @@
                     OpenJobReader.TERMINAL_PREFIX + id,
                     JobRecordCodec.terminalRecord(job.spec, state))),
             RecordWriter.WriteKind.TERMINAL_STATE,
-            () -> sent.accept(teamsRevision),
-            done));
+            () -> onSent.accept(teamsRevision),
+            onResult));
   }
 
   /** Enqueues a write. */
-  void write(RecordWriter.Write write) {
+  void enqueue(RecordWriter.Write write) {
     writer.write(write);
   }
 
@@ -128,7 +129,7 @@
    * Removes the key that told of a job, if it is unchanged: carried out late, the removal finds
    * another revision or none.
    */
-  void removeAddedKey(String id, long revision) {
+  void removeNewJobKey(String id, long revision) {
     String key = Cluster.newJobKey(id);
     writer.write(
         new RecordWriter.Write(
--- a/src/main/java/org/sandford/job/JobRecords.java
+++ b/src/main/java/org/sandford/job/JobRecords.java
@@ -36,7 +36,7 @@
     void ended(Job job, TerminalState state);
 
     /** The finished task is stored, so its result may be cleared from its worker. */
-    void stored(Job job, Job.Clear clear);
+    void stored(Job job, Job.Clear exit);
   }
 
   private final EventLoop loop;
@@ -66,7 +66,7 @@
   /** Writes what the job's record lacks, unless a write of it is under way. */
   void flush(Job job) {
     if (isEnding(job)) {
-      withdrawProgress(job);
+      withdrawProgressWrite(job);
     }
     if (!mayWrite(job)) {
       return;
@@ -75,7 +75,7 @@
       writeTerminalRecord(job, TerminalState.CANCELLED);
     } else if (job.allDone()) {
       writeTerminalRecord(job, TerminalState.DONE);
-    } else if (job.dirty && !job.progressDue) {
+    } else if (job.dirty && !job.progressWriteScheduled) {
       scheduleProgressWrite(job);
     }
   }
@@ -85,9 +85,9 @@
   }
 
   /** The terminal record makes it unnecessary, and must not wait behind it. */
-  private void withdrawProgress(Job job) {
-    if (job.progress != null && recordStore.withdraw(job.progress)) {
-      job.progress = null;
+  private void withdrawProgressWrite(Job job) {
+    if (job.progressWrite != null && recordStore.withdraw(job.progressWrite)) {
+      job.progressWrite = null;
       job.writing = false;
     }
   }
@@ -96,18 +96,18 @@
     return !job.writing
         && !job.phase().over()
         && job.phase() != Job.Phase.STORING
-        && owned.holds(job);
+        && owned.isCurrent(job);
   }
 
   private void scheduleProgressWrite(Job job) {
-    job.progressDue = true;
+    job.progressWriteScheduled = true;
     loop.after(
         JobConstants.PROGRESS_WRITE_MS,
         () -> {
-          job.progressDue = false;
-          boolean wanted =
+          job.progressWriteScheduled = false;
+          boolean stillNeeded =
               job.dirty && !job.writing && job.phase() == Job.Phase.OPEN && !job.allDone();
-          if (wanted && owned.holds(job)) {
+          if (stillNeeded && owned.isCurrent(job)) {
             writeProgress(job);
           }
         });
@@ -115,7 +115,7 @@
 
   private void writeTerminalRecord(Job job, TerminalState state) {
     job.writing = true;
-    recordStore.replaceByTerminal(
+    recordStore.replaceWithTerminalRecord(
         job,
         state,
         teamsRevision -> terminalWriteSent(job, state, teamsRevision),
@@ -123,24 +123,24 @@
   }
 
   private void terminalWriteSent(Job job, TerminalState state, long teamsRevision) {
-    job.terminalStateSent();
+    job.terminalWriteSent();
     audit.terminalStateSent(job.spec.id(), state.wireName(), job.revision, teamsRevision);
   }
 
   private void terminalRecordWritten(Job job, TerminalState state, TransactionResult result) {
     job.writing = false;
-    if (!owned.holds(job)) {
+    if (!owned.isCurrent(job)) {
       return;
     }
     switch (result.outcome()) {
       case APPLIED -> listener.ended(job, state);
       case UNKNOWN -> {
-        job.endUnconfirmed();
-        answerAborters(job, unavailable("it is not known whether the change was stored"));
+        job.terminalWriteUnconfirmed();
+        answerCancellations(job, unavailable("it is not known whether the change was stored"));
         handleFailedWrite(job, result);
       }
       case CONFLICT, REFUSED -> {
-        job.endRejected();
+        job.terminalWriteRejected();
         handleFailedWrite(job, result);
       }
     }
@@ -149,18 +149,19 @@
   private void writeProgress(Job job) {
     job.writing = true;
     job.dirty = false;
-    List<Job.Clear> clears = new ArrayList<>(job.clears);
+    List<Job.Clear> exits = new ArrayList<>(job.exitsToAcknowledge);
     ObjectNode record = recordStore.openRecord(job);
-    job.progress =
-        recordStore.replace(job, record, result -> progressWritten(job, record, clears, result));
-    recordStore.write(job.progress);
+    job.progressWrite =
+        recordStore.progressWrite(
+            job, record, result -> progressWritten(job, record, exits, result));
+    recordStore.enqueue(job.progressWrite);
   }
 
   private void progressWritten(
-      Job job, ObjectNode record, List<Job.Clear> clears, TransactionResult result) {
+      Job job, ObjectNode record, List<Job.Clear> exits, TransactionResult result) {
     job.writing = false;
-    job.progress = null;
-    if (!owned.holds(job)) {
+    job.progressWrite = null;
+    if (!owned.isCurrent(job)) {
       return;
     }
     if (result.outcome() != Outcome.APPLIED) {
@@ -170,10 +171,10 @@
     }
     job.revision = result.revision();
     RangeSet<Integer> stored = JobRecordCodec.finishedTasks(record);
-    for (Job.Clear clear : clears) {
-      if (stored.contains(clear.task())) {
-        job.clears.remove(clear);
-        listener.stored(job, clear);
+    for (Job.Clear exit : exits) {
+      if (stored.contains(exit.task())) {
+        job.exitsToAcknowledge.remove(exit);
+        listener.stored(job, exit);
       }
     }
     flush(job);
@@ -185,7 +186,7 @@
    */
   private void handleFailedWrite(Job job, TransactionResult result) {
     if (result.outcome() == Outcome.REFUSED) {
-      answerAborters(job, unavailable("the store does not take the change"));
+      answerCancellations(job, unavailable("the store does not take the change"));
       loop.after(StoreConstants.STORE_RETRY_MS, () -> flush(job));
     } else if (result.outcome() == Outcome.CONFLICT
         && result.failed().contains(Cluster.TEAMS_KEY)) {
@@ -197,20 +198,20 @@
   }
 
   private void readBack(Job job, TransactionResult failedWrite) {
-    jobReader.read(job.spec.id(), found -> reconcile(job, found, failedWrite));
+    jobReader.read(job.spec.id(), found -> applyStoredState(job, found, failedWrite));
   }
 
   /** Takes over what the store holds of the job; the record there is the truth. */
-  private void reconcile(Job job, JobReadResult found, TransactionResult failedWrite) {
+  private void applyStoredState(Job job, JobReadResult found, TransactionResult failedWrite) {
     job.writing = false;
-    if (!owned.holds(job)) {
+    if (!owned.isCurrent(job)) {
       return;
     }
     if (found instanceof JobReadResult.Terminal terminal) {
       listener.ended(job, terminal.state());
     } else if (found instanceof JobReadResult.Open open) {
       job.revision = open.revision();
-      TaskRanges.first(open.finishedTasks(), Integer.MAX_VALUE).forEach(job::finish);
+      TaskRanges.first(open.finishedTasks(), Integer.MAX_VALUE).forEach(job::markDone);
       flush(job);
     } else if (found instanceof JobReadResult.Absent) {
       log.error("job record missing from store job={}", job.spec.id());
@@ -225,9 +226,9 @@
   }
 
   /** Answers all users who wait for the job's cancellation. */
-  static void answerAborters(Job job, ApiResponse answer) {
-    List<Consumer<ApiResponse>> waiting = new ArrayList<>(job.aborters);
-    job.aborters.clear();
-    waiting.forEach(aborter -> aborter.accept(answer));
+  static void answerCancellations(Job job, ApiResponse answer) {
+    List<Consumer<ApiResponse>> waiting = new ArrayList<>(job.cancellationCallbacks);
+    job.cancellationCallbacks.clear();
+    waiting.forEach(callback -> callback.accept(answer));
   }
 }
--- a/src/main/java/org/sandford/job/JobTermination.java
+++ b/src/main/java/org/sandford/job/JobTermination.java
@@ -49,36 +49,36 @@
       cancelled.add(job.spec.id(), job.spec.team(), job.spec.tasks());
     }
     terminalStates.put(job.spec.id(), state);
-    answers.ended(job.spec.id()).ifPresent(answer -> JobRecords.answerAborters(job, answer));
-    stopAll(job);
-    job.clears.forEach(
+    answers.ended(job.spec.id()).ifPresent(answer -> JobRecords.answerCancellations(job, answer));
+    stopAllTasks(job);
+    job.exitsToAcknowledge.forEach(
         exit -> commands.acknowledgeExit(job, exit.machine(), exit.task(), exit.attempt()));
     if (job.placementCount() == 0) {
-      owned.discard(job);
+      owned.remove(job);
     } else {
-      awaitRelease(job);
+      stopUntilReleased(job);
     }
     timer.requestRound();
   }
 
   /** Repeats the stops until every task is surely off its machine. */
-  private void awaitRelease(Job job) {
-    if (job.placementCount() == 0 || !owned.holds(job)) {
-      owned.discard(job);
+  private void stopUntilReleased(Job job) {
+    if (job.placementCount() == 0 || !owned.isCurrent(job)) {
+      owned.remove(job);
       timer.requestRound();
       return;
     }
     loop.after(
         JobConstants.PLAN_IDLE_MS,
         () -> {
-          if (owned.holds(job)) {
-            stopAll(job);
-            awaitRelease(job);
+          if (owned.isCurrent(job)) {
+            stopAllTasks(job);
+            stopUntilReleased(job);
           }
         });
   }
 
-  private void stopAll(Job job) {
+  private void stopAllTasks(Job job) {
     job.placements().forEach(placement -> commands.stop(placement, 0));
   }
 }
--- a/src/main/java/org/sandford/job/OpenJobAudit.java
+++ b/src/main/java/org/sandford/job/OpenJobAudit.java
@@ -44,10 +44,10 @@
     if (!cluster.sessionLeaseValid() || owned.ownsNothing()) {
       return;
     }
-    store.openJobs(open -> open.forEach((id, entry) -> check(id, entry.value())));
+    store.openJobs(openJobs -> openJobs.forEach((id, entry) -> adoptIfMissing(id, entry.value())));
   }
 
-  private void check(String id, JsonNode record) {
+  private void adoptIfMissing(String id, JsonNode record) {
     JobSpec spec = OpenJobReader.spec(id, record);
     jobReader.remember(spec);
     String team = spec.team();
--- a/src/main/java/org/sandford/job/OpenJobLoader.java
+++ b/src/main/java/org/sandford/job/OpenJobLoader.java
@@ -38,32 +38,32 @@
    */
   void load(List<Team> acquired, Consumer<Set<String>> whenLoaded) {
     store.openJobs(
-        open -> {
-          Set<String> adopted = new HashSet<>();
+        openJobs -> {
+          Set<String> adoptedIds = new HashSet<>();
           for (Team team : acquired) {
             if (owned.team(team.name) == team && team.phase() == Team.Phase.LOADING) {
-              adoptJobs(team, open, adopted);
+              adoptJobs(team, openJobs, adoptedIds);
               team.transitionTo(Team.Phase.RECOVERING);
               log.info("open jobs loaded team={} jobs={}", team.name, team.jobs.size());
             }
           }
-          whenLoaded.accept(adopted);
+          whenLoaded.accept(adoptedIds);
         });
   }
 
-  private void adoptJobs(Team team, Map<String, Entry> open, Set<String> adopted) {
-    open.forEach(
+  private void adoptJobs(Team team, Map<String, Entry> openJobs, Set<String> adoptedIds) {
+    openJobs.forEach(
         (id, entry) -> {
           JobSpec spec = OpenJobReader.spec(id, entry.value());
           // The listing may be older than an end that became known meanwhile.
           if (spec.team().equals(team.name) && !owned.knows(id) && !terminalStates.contains(id)) {
-            owned.adopt(team, inherited(spec, entry));
-            adopted.add(id);
+            owned.add(team, inheritedJob(spec, entry));
+            adoptedIds.add(id);
           }
         });
   }
 
-  private Job inherited(JobSpec spec, Entry entry) {
+  private Job inheritedJob(JobSpec spec, Entry entry) {
     return Job.inherited(JobRecordCodec.openJob(spec, entry), loop.nanos());
   }
 }
--- a/src/main/java/org/sandford/job/OwnedJobs.java
+++ b/src/main/java/org/sandford/job/OwnedJobs.java
@@ -59,7 +59,7 @@
    * Whether this very job is known still: its team may have been relinquished, or the job replaced
    * by another of its id.
    */
-  boolean holds(Job job) {
+  boolean isCurrent(Job job) {
     return jobs.get(job.spec.id()) == job;
   }
 
@@ -76,12 +76,12 @@
   }
 
   /** The provenance of an answer from memory for a team of this controller. */
-  Provenance memory(String team) {
+  Provenance ownerMemory(String team) {
     return new Provenance.OwnerMemory(cluster.incarnationId(), teams.get(team).generation);
   }
 
   /** Forgets the job and its placements. */
-  void discard(Job job) {
+  void remove(Job job) {
     jobs.remove(job.spec.id(), job);
     job.placements().forEach(candidates::removePlacement);
     Team team = teams.get(job.spec.team());
@@ -91,7 +91,7 @@
   }
 
   /** Adds a job to one of the teams. */
-  void adopt(Team team, Job job) {
+  void add(Team team, Job job) {
     team.jobs.put(job.spec.id(), job);
     jobs.put(job.spec.id(), job);
     jobReader.remember(job.spec);
--- a/src/main/java/org/sandford/job/RetryState.java
+++ b/src/main/java/org/sandford/job/RetryState.java
@@ -13,7 +13,7 @@
   private static final int MAX_BACKOFF_DOUBLINGS = 7;
 
   private final Set<String> avoidedMachines = new HashSet<>();
-  private int failuresInRow;
+  private int consecutiveFailures;
   private long notBeforeMs;
   private WaitReason lastFailure = WaitReason.NONE;
 
@@ -29,17 +29,17 @@
 
   /** A task failed; returns for how many milliseconds the job backs off. */
   long recordFailure(WaitReason.TaskFailed failure) {
-    failuresInRow++;
+    consecutiveFailures++;
     avoidedMachines.add(failure.machine());
     lastFailure = failure;
-    int doublings = Math.min(failuresInRow - 1, MAX_BACKOFF_DOUBLINGS);
+    int doublings = Math.min(consecutiveFailures - 1, MAX_BACKOFF_DOUBLINGS);
     long backoffMs = (long) JobConstants.ERROR_BACKOFF_MS << doublings;
     return Math.min(backoffMs, JobConstants.ERROR_BACKOFF_MAX_MS);
   }
 
   /** A task runs, so failures that follow count anew. */
   void resetBackoff() {
-    failuresInRow = 0;
+    consecutiveFailures = 0;
   }
 
   /** The last failure of a task, or {@link WaitReason#NONE}. */
--- a/src/main/java/org/sandford/job/Submissions.java
+++ b/src/main/java/org/sandford/job/Submissions.java
@@ -41,12 +41,12 @@
       TerminalStates terminalStates,
       JobReader jobReader,
       JobAnswers answers,
-      Changes changes) {
+      Changes listener) {
     JobRecordStore recordStore = new JobRecordStore(settings, cluster, writer);
     this.adoption =
-        new JobAdoption(loop, cluster, owned, terminalStates, jobReader, recordStore, changes);
+        new JobAdoption(loop, cluster, owned, terminalStates, jobReader, recordStore, listener);
     this.acceptance =
-        new JobAcceptance(loop, owned, jobReader, answers, recordStore, adoption, changes);
+        new JobAcceptance(loop, owned, jobReader, answers, recordStore, adoption, listener);
     this.audit = new OpenJobAudit(cluster, owned, store, terminalStates, jobReader, adoption);
   }
 
--- a/src/main/java/org/sandford/job/TaskProgress.java
+++ b/src/main/java/org/sandford/job/TaskProgress.java
@@ -69,27 +69,27 @@
   /** The task has a placement now. */
   void stopWaiting(int task) {
     if (waiting.contains(task)) {
-      waiting.remove(TaskRanges.one(task));
+      waiting.remove(TaskRanges.ofTask(task));
       waitingCount--;
     }
   }
 
   /** The task lost its placement; unless it is done, it waits again. */
-  void waitAgain(int task, long now) {
+  void startWaiting(int task, long now) {
     if (!isDone(task)) {
-      waiting.add(TaskRanges.one(task));
+      waiting.add(TaskRanges.ofTask(task));
       waitingCount++;
       waitingSinceNanos = now;
     }
   }
 
   /** The task is done; false when that was known. */
-  boolean finish(int task) {
+  boolean markDone(int task) {
     if (isDone(task)) {
       return false;
     }
     stopWaiting(task);
-    done.add(TaskRanges.one(task));
+    done.add(TaskRanges.ofTask(task));
     doneCount++;
     return true;
   }
--- a/src/main/java/org/sandford/job/TaskRanges.java
+++ b/src/main/java/org/sandford/job/TaskRanges.java
@@ -30,7 +30,7 @@
   }
 
   /** The range of one task. */
-  static Range<Integer> one(int task) {
+  static Range<Integer> ofTask(int task) {
     return Range.closedOpen(task, task + 1);
   }
 
@@ -85,7 +85,7 @@
     for (Range<Integer> range : set.asRanges()) {
       Range<Integer> tasks = closedOpen(range);
       ranges.add(tasks);
-      bytes += bytesOf(tasks);
+      bytes += maxPairBytes(tasks);
     }
     if (bytes > maxBytes) {
       ranges = longestWithin(maxBytes, ranges);
@@ -101,21 +101,21 @@
   private static List<Range<Integer>> longestWithin(int maxBytes, List<Range<Integer>> ranges) {
     List<Range<Integer>> byLength = new ArrayList<>(ranges);
     byLength.sort(Comparator.comparingInt(TaskRanges::size).reversed());
-    List<Range<Integer>> countFitting = new ArrayList<>();
+    List<Range<Integer>> fitting = new ArrayList<>();
     int bytes = ARRAY_BRACKETS_BYTES;
     for (Range<Integer> tasks : byLength) {
-      bytes += bytesOf(tasks);
+      bytes += maxPairBytes(tasks);
       if (bytes > maxBytes) {
         break;
       }
-      countFitting.add(tasks);
+      fitting.add(tasks);
     }
-    countFitting.sort(Comparator.comparing(Range::lowerEndpoint));
-    return countFitting;
+    fitting.sort(Comparator.comparing(Range::lowerEndpoint));
+    return fitting;
   }
 
   /** The most bytes that the pair takes, with its brackets and commas. */
-  private static int bytesOf(Range<Integer> tasks) {
+  private static int maxPairBytes(Range<Integer> tasks) {
     return PAIR_PUNCTUATION_BYTES
         + String.valueOf(tasks.lowerEndpoint()).length()
         + String.valueOf(tasks.upperEndpoint() - 1).length();
--- a/src/main/java/org/sandford/job/Team.java
+++ b/src/main/java/org/sandford/job/Team.java
@@ -25,7 +25,7 @@
     /** It was handed over; the leader's map will name the next owner. */
     HANDED_OVER;
 
-    private boolean mayBecome(Phase next) {
+    private boolean canTransitionTo(Phase next) {
       return switch (next) {
         case LOADING -> false;
         case RECOVERING -> this == LOADING;
@@ -46,19 +46,19 @@
 
   private UnreportedMachines unreported = UnreportedMachines.unlisted();
 
-  private long attempts;
-  private Resources held = Resources.ZERO;
+  private long attemptCount;
+  private Resources trackedUse = Resources.ZERO;
 
   /** What of that is used by jobs that a former owner may have started. */
-  private Resources inherited = Resources.ZERO;
+  private Resources inheritedUse = Resources.ZERO;
 
-  private Resources untracked = Resources.ZERO;
+  private Resources untrackedUse = Resources.ZERO;
 
   /** What tasks of inherited jobs may use that were not found. */
-  private Resources unfound = Resources.ZERO;
+  private Resources unlocatedMax = Resources.ZERO;
 
   /** What tasks of jobs that were cancelled lately may use. */
-  private Resources cancelled = Resources.ZERO;
+  private Resources cancelledMax = Resources.ZERO;
 
   Team(String name, long generation, Settings.Team limits) {
     this.name = name;
@@ -72,7 +72,7 @@
 
   /** The one place where the phase changes. */
   void transitionTo(Phase next) {
-    if (!phase.mayBecome(next)) {
+    if (!phase.canTransitionTo(next)) {
       throw new IllegalStateException("team " + name + " is " + phase + ", not to be " + next);
     }
     phase = next;
@@ -108,7 +108,7 @@
    * Attempts rise for ever: generations rise with every change of owner and stand above the count.
    */
   long nextAttempt() {
-    return generation * JobConstants.ATTEMPTS_PER_GENERATION + ++attempts;
+    return generation * JobConstants.ATTEMPTS_PER_GENERATION + ++attemptCount;
   }
 
   /** The generation of the team under which the attempt was started. */
@@ -121,59 +121,60 @@
    * the round it would cost a step for each pair of jobs. What is untracked is added after it.
    */
   void recountUse() {
-    held = Resources.ZERO;
-    inherited = Resources.ZERO;
-    untracked = Resources.ZERO;
-    unfound = Resources.ZERO;
+    trackedUse = Resources.ZERO;
+    inheritedUse = Resources.ZERO;
+    untrackedUse = Resources.ZERO;
+    unlocatedMax = Resources.ZERO;
     for (Job job : jobs.values()) {
       Resources ofJob = Resources.ofTask(job.spec).times(job.placementCount());
-      held = held.plus(ofJob);
+      trackedUse = trackedUse.plus(ofJob);
       if (job.inherited) {
-        inherited = inherited.plus(ofJob);
-        unfound = unfound.plus(Resources.ofTask(job.spec).times(job.tasks.waitingCount()));
+        inheritedUse = inheritedUse.plus(ofJob);
+        unlocatedMax =
+            unlocatedMax.plus(Resources.ofTask(job.spec).times(job.tasks.waitingCount()));
       }
     }
   }
 
   /** Tasks of the team that belong to no known attempt use so much more. */
-  void addUntracked(Resources more) {
-    untracked = untracked.plus(more);
+  void addUntracked(Resources use) {
+    untrackedUse = untrackedUse.plus(use);
   }
 
   /** Tasks of the team's jobs that were cancelled lately may use so much unreported. */
-  void setCancelledBound(Resources most) {
-    cancelled = most;
+  void setCancelledBound(Resources max) {
+    cancelledMax = max;
   }
 
   /** A task of the job is placed since the last count. */
   void addTask(Job job) {
-    held = held.plus(Resources.ofTask(job.spec));
+    trackedUse = trackedUse.plus(Resources.ofTask(job.spec));
   }
 
   /** A task of the job is released since the last count. */
   void removeTask(Job job) {
-    held = held.minus(Resources.ofTask(job.spec));
+    trackedUse = trackedUse.minus(Resources.ofTask(job.spec));
   }
 
   /** CPUs that the team uses, or may use unseen. */
   double cpusUsed() {
-    double found = inherited.cpus() + untracked.cpus();
-    return held.cpus()
-        + untracked.cpus()
-        + hiddenUse(limits.cpusMax() - found, maxOnUnreportedMachines().cpus());
+    double knownInherited = inheritedUse.cpus() + untrackedUse.cpus();
+    return trackedUse.cpus()
+        + untrackedUse.cpus()
+        + maxUndetectedUse(limits.cpusMax() - knownInherited, maxOnUnreportedMachines().cpus());
   }
 
   /** Accelerators that the team uses, or may use unseen. */
   double gpusUsed() {
-    double found = inherited.gpus() + untracked.gpus();
-    return held.gpus()
-        + untracked.gpus()
-        + hiddenUse(limits.gpusMax() - found, maxOnUnreportedMachines().gpus());
+    double knownInherited = inheritedUse.gpus() + untrackedUse.gpus();
+    return trackedUse.gpus()
+        + untrackedUse.gpus()
+        + maxUndetectedUse(limits.gpusMax() - knownInherited, maxOnUnreportedMachines().gpus());
   }
 
   /** What may be on machines that did not report: no more than they can hold. */
   private Resources maxOnUnreportedMachines() {
-    return unfound.plus(cancelled).atMost(unreported.capacity());
+    return unlocatedMax.plus(cancelledMax).atMost(unreported.capacity());
   }
 
   /**
@@ -181,7 +182,7 @@
    * that have not, of jobs that are open and of jobs that have ended. The former owner enforced the
    * limit, so together with what was found they use the limit at the most.
    */
-  private double hiddenUse(double limitLeft, double maxOnUnreported) {
+  private double maxUndetectedUse(double limitLeft, double maxOnUnreported) {
     return phase == Phase.READY ? 0 : Math.max(0, Math.min(limitLeft, maxOnUnreported));
   }
 
--- a/src/main/java/org/sandford/job/TeamOwnership.java
+++ b/src/main/java/org/sandford/job/TeamOwnership.java
@@ -47,9 +47,9 @@
 
   /** Follows the assignment map; returns the teams that were acquired, whose jobs are not known. */
   List<Team> applyMap() {
-    Map<String, TeamAssignment> map = cluster.teams().of();
+    Map<String, TeamAssignment> assignments = cluster.teams().of();
     for (Team team : new ArrayList<>(owned.teams().values())) {
-      TeamAssignment assignment = map.get(team.name);
+      TeamAssignment assignment = assignments.get(team.name);
       if (assignment == null
           || !assignment.owner().equals(cluster.incarnationId())
           || assignment.generation() != team.generation) {
@@ -57,7 +57,7 @@
       }
     }
     List<Team> acquired = new ArrayList<>();
-    map.forEach(
+    assignments.forEach(
         (name, assignment) -> {
           if (assignment.owner().equals(cluster.incarnationId()) && !owned.owns(name)) {
             acquired.add(acquire(name, assignment.generation()));
@@ -106,11 +106,11 @@
     for (Job job : team.jobs.values()) {
       owned.jobs().remove(job.spec.id());
       job.placements().forEach(candidates::removePlacement);
-      ApiResponse later =
+      ApiResponse retryLater =
           ApiResponse.later(
               503, "the team's owner changes", ApiConstants.RETRY_AFTER_NO_AUTHORITY_S);
-      job.submitters.forEach(s -> s.accept(later));
-      job.aborters.forEach(a -> a.accept(later));
+      job.submissionCallbacks.forEach(callback -> callback.accept(retryLater));
+      job.cancellationCallbacks.forEach(callback -> callback.accept(retryLater));
     }
   }
 
--- a/src/main/java/org/sandford/job/TeamRecovery.java
+++ b/src/main/java/org/sandford/job/TeamRecovery.java
@@ -48,19 +48,19 @@
         continue;
       }
       if (!team.unreported().isListed()) {
-        team.expectReports(machinesInMap());
+        team.expectReports(assignedMachines());
       }
       team.unreported().removeIf(name -> hasReported(team, name));
-      readyIfAllReported(team);
+      markReadyIfAllReported(team);
     }
   }
 
-  private UnreportedMachines machinesInMap() {
-    Map<String, MachineAssignment> map = cluster.machines().of();
+  private UnreportedMachines assignedMachines() {
+    Map<String, MachineAssignment> assignments = cluster.machines().of();
     UnreportedMachines unreported =
         new UnreportedMachines(
-            name -> Resources.ofMachine(instanceTypes.apply(map.get(name).kind())));
-    map.forEach(
+            name -> Resources.ofMachine(instanceTypes.apply(assignments.get(name).kind())));
+    assignments.forEach(
         (name, assignment) -> {
           if (assignment.hasAddress()) {
             unreported.add(name);
@@ -78,7 +78,7 @@
             team.unreported().remove(snapshot.machine);
           }
         }
-        readyIfAllReported(team);
+        markReadyIfAllReported(team);
       }
     }
   }
@@ -98,7 +98,7 @@
         && team.claimAcknowledgedBy.contains(received.owner());
   }
 
-  private void readyIfAllReported(Team team) {
+  private void markReadyIfAllReported(Team team) {
     if (team.unreported().isEmpty()) {
       team.transitionTo(Team.Phase.READY);
       log.info("team recovered team={} generation={}", team.name, team.generation);
--- a/src/test/java/org/sandford/job/JobTest.java
+++ b/src/test/java/org/sandford/job/JobTest.java
@@ -18,7 +18,7 @@
 class JobTest {
   private static final int TASKS = 12;
 
-  private static Job array() {
+  private static Job arrayJob() {
     JobSpec spec =
         new JobSpec(
             "wk-1",
@@ -63,14 +63,14 @@
   @Test
   void requestCountsPlacementsThroughAllChanges() {
     Random random = new Random(1);
-    Job job = array();
+    Job job = arrayJob();
     for (int i = 0; i < 500; i++) {
       int task = random.nextInt(TASKS);
-      TaskPlacement there = job.placementOf(task);
-      if (there != null && random.nextBoolean()) {
-        job.releasePlacement(there, i);
+      TaskPlacement current = job.placementOf(task);
+      if (current != null && random.nextBoolean()) {
+        job.releasePlacement(current, i);
         // Released once more, it changes nothing.
-        job.releasePlacement(there, i);
+        job.releasePlacement(current, i);
       } else {
         job.recordPlacement(place(job, task, random.nextInt(5)));
       }
@@ -85,29 +85,29 @@
 
   @Test
   void exitAwaitsAcknowledgementOnlyOnce() {
-    Job job = array();
-    assertTrue(job.clears.add(new Job.Clear(3, 7, "n1")));
-    assertFalse(job.clears.add(new Job.Clear(3, 7, "n1")));
+    Job job = arrayJob();
+    assertTrue(job.exitsToAcknowledge.add(new Job.Clear(3, 7, "n1")));
+    assertFalse(job.exitsToAcknowledge.add(new Job.Clear(3, 7, "n1")));
   }
 
   @Test
   void runningCountFollowsTheTaskPlacementOnly() {
-    Job job = array();
-    TaskPlacement former = place(job, 2, 0);
-    TaskPlacement present = place(job, 2, 1);
-    job.recordPlacement(former);
-    former.transitionTo(TaskPhase.RUNNING);
+    Job job = arrayJob();
+    TaskPlacement earlier = place(job, 2, 0);
+    TaskPlacement later = place(job, 2, 1);
+    job.recordPlacement(earlier);
+    earlier.transitionTo(TaskPhase.RUNNING);
     assertEquals(1, job.running());
-    job.recordPlacement(present);
+    job.recordPlacement(later);
     assertEquals(0, job.running());
-    former.transitionTo(TaskPhase.STOPPING);
-    present.transitionTo(TaskPhase.RUNNING);
+    earlier.transitionTo(TaskPhase.STOPPING);
+    later.transitionTo(TaskPhase.RUNNING);
     assertEquals(1, job.running());
   }
 
   @Test
   void stoppingTaskNeverRunsAgain() {
-    TaskPlacement placement = place(array(), 0, 0);
+    TaskPlacement placement = place(arrayJob(), 0, 0);
     placement.transitionTo(TaskPhase.STOPPING);
     placement.transitionTo(TaskPhase.RUNNING);
     assertEquals(TaskPhase.STOPPING, placement.phase());
@@ -115,7 +115,7 @@
 
   @Test
   void endedJobRefusesOtherPhases() {
-    Job job = array();
+    Job job = arrayJob();
     job.transitionTo(Job.Phase.ABORTING);
     assertThrows(IllegalStateException.class, () -> job.transitionTo(Job.Phase.OPEN));
     job.transitionTo(Job.Phase.ABORTED);
--- a/src/test/java/org/sandford/job/ProductionRecordsTest.java
+++ b/src/test/java/org/sandford/job/ProductionRecordsTest.java
@@ -14,11 +14,11 @@
  * to the letter.
  */
 class ProductionRecordsTest {
-  private static final String ARRAY =
+  private static final String ARRAY_SPEC =
       "{\"c\":\"train\",\"t\":\"red\",\"k\":0,\"r\":1,\"n\":16,\"cpu\":8.0,\"gpu\":0.0,\"ram\":64.0,\"z\":\"a\","
           + "\"to\":1,\"sc\":0,\"sp\":1,\"i\":\"img-07\",\"ig\":6.2,\"e\":240.0,\"se\":30.0,\"sv\":4.0,\"due\":900.0,"
           + "\"m\":[\"m8\"]}";
-  private static final String SERVICE =
+  private static final String SERVICE_SPEC =
       "{\"c\":\"serve\",\"t\":\"red\",\"k\":1,\"r\":0,\"n\":4,\"cpu\":2.0,\"gpu\":0.0,\"ram\":8.0,\"z\":\"\","
           + "\"to\":0,\"sc\":1,\"sp\":0,\"i\":\"img\",\"ig\":1.0,\"e\":0.0,\"se\":0.0,\"sv\":0.0,\"due\":0.0}";
 
@@ -72,14 +72,14 @@
 
   @Test
   void specsAreWrittenWithTheBytesOfTheProductionVersion() {
-    assertEquals(ARRAY, Json.text(jobOfShape(JobSpec.Shape.ARRAY).json()));
-    assertEquals(SERVICE, Json.text(serviceJob().json()));
+    assertEquals(ARRAY_SPEC, Json.text(jobOfShape(JobSpec.Shape.ARRAY).json()));
+    assertEquals(SERVICE_SPEC, Json.text(serviceJob().json()));
   }
 
   @Test
   void specsOfTheProductionVersionAreRead() {
-    assertEquals(jobOfShape(JobSpec.Shape.ARRAY), JobSpec.read("wk-000412", Json.read(ARRAY)));
-    assertEquals(serviceJob(), JobSpec.read("wk-000413", Json.read(SERVICE)));
+    assertEquals(jobOfShape(JobSpec.Shape.ARRAY), JobSpec.read("wk-000412", Json.read(ARRAY_SPEC)));
+    assertEquals(serviceJob(), JobSpec.read("wk-000413", Json.read(SERVICE_SPEC)));
   }
 
   @Test
@@ -93,9 +93,9 @@
   void openJobRecordHasTheBytesOfTheProductionVersion() {
     RangeSet<Integer> finished = TaskRanges.empty();
     finished.add(TaskRanges.firstTasks(3));
-    finished.add(TaskRanges.one(7));
+    finished.add(TaskRanges.ofTask(7));
     assertEquals(
-        "{\"a\":1700000000123,\"s\":" + ARRAY + ",\"d\":[[0,2],[7,7]]}",
+        "{\"a\":1700000000123,\"s\":" + ARRAY_SPEC + ",\"d\":[[0,2],[7,7]]}",
         Json.text(
             JobRecordCodec.openRecord(
                 jobOfShape(JobSpec.Shape.ARRAY), 1_700_000_000_123L, finished, 16_384)));
--- a/src/test/java/org/sandford/job/TaskRangesTest.java
+++ b/src/test/java/org/sandford/job/TaskRangesTest.java
@@ -14,7 +14,7 @@
     RangeSet<Integer> set = TaskRanges.empty();
     for (int task = 0; task < tasks; task++) {
       if (random.nextInt(100) < percent) {
-        set.add(TaskRanges.one(task));
+        set.add(TaskRanges.ofTask(task));
       }
     }
     return set;
@@ -49,7 +49,7 @@
   void firstTasksComeInAscendingOrder() {
     RangeSet<Integer> set = TaskRanges.empty();
     set.add(TaskRanges.firstTasks(100_000));
-    set.remove(TaskRanges.one(1));
+    set.remove(TaskRanges.ofTask(1));
     assertEquals(java.util.List.of(0, 2, 3), TaskRanges.first(set, 3));
   }
 }
