--- a/src/main/java/org/sandford/job/CancelledJobs.java
+++ b/src/main/java/org/sandford/job/CancelledJobs.java
@@ -9,17 +9,17 @@
 import org.sandford.runtime.MonotonicTime;
 
 /**
- * The jobs that were cancelled lately. Until {@code cancel_s} after its cancellation a job's tasks
- * may be on machines, and a new owner of its team does not find the job among the open ones. Used
+ * Tracks recently cancelled jobs. For {@code cancel_s} after a job's cancellation its tasks may
+ * still be on machines, and a new owner of its team does not find the job among the open ones. Used
  * on the event loop.
  */
 final class CancelledJobs {
   /**
    * A cancelled job.
    *
-   * @param team its team, empty in a record that lacks it
-   * @param tasks the number of all its tasks, 0 in a record that lacks it
-   * @param learnedAtNanos when that became known, on the steady clock in nanoseconds
+   * @param team its team; empty if its record lacks it
+   * @param tasks the number of all its tasks; 0 if its record lacks it
+   * @param learnedAtNanos when the cancellation became known, in nanoseconds of monotonic time
    */
   private record Cancelled(String team, int tasks, long learnedAtNanos) {
     private boolean mayBelongTo(String other) {
@@ -38,8 +38,8 @@
   private final Map<String, Cancelled> jobs = new LinkedHashMap<>();
 
   /**
-   * @param terminalStatesCompleteSince the moment since which no end of a job was missed here
-   * @param cancelS seconds until a cancelled job's tasks are surely gone
+   * @param terminalStatesCompleteSince the time since which no terminal state was missed here
+   * @param cancelS seconds after which a cancelled job's tasks are certainly gone
    */
   CancelledJobs(
       EventLoop loop,
@@ -53,7 +53,7 @@
     this.retentionNanos = (long) (retentionS * 1e9);
   }
 
-  /** A cancellation became known; {@code team} is empty and {@code tasks} 0 if they are unknown. */
+  /** Records a cancellation; {@code team} is empty and {@code tasks} is 0 if unknown. */
   void add(String job, String team, int tasks) {
     long now = loop.nanos();
     Cancelled known = jobs.get(job);
@@ -68,7 +68,7 @@
     }
   }
 
-  /** The most that tasks of the team's cancelled jobs may use on machines that did not report. */
+  /** Returns the most that tasks of the team's cancelled jobs may use on unreported machines. */
   Resources maxHeldBy(String team) {
     long now = loop.nanos();
     if (!terminalStatesCompleteSince.get().isOlderThan(retentionNanos, now)) {
--- a/src/main/java/org/sandford/job/Job.java
+++ b/src/main/java/org/sandford/job/Job.java
@@ -17,19 +17,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One job of a team that this controller owns: its phase, and the states of its tasks, its retries,
- * its gang and its record. Used on the event loop.
+ * Holds the state of one job of a team that this controller owns: its phase, tasks, retries, gang
+ * and record. Used on the event loop.
  */
 final class Job {
   private static final Logger log = LoggerFactory.getLogger(Job.class);
 
   /** The states of a job; the last two are terminal. */
   enum Phase {
-    /** Its record is being written; nobody was told that it is accepted. */
+    /** Its record is being written; no user has been told that the job is accepted. */
     STORING,
-    /** Accepted: its tasks wait or run. */
+    /** The job is accepted; its tasks wait or run. */
     OPEN,
-    /** Its user asked to cancel it; the terminal state is being written. */
+    /** A user requested its cancellation; the terminal state is being written. */
     ABORTING,
     DONE,
     ABORTED;
@@ -38,7 +38,7 @@
       return this == DONE || this == ABORTED;
     }
 
-    /** A terminal state may be found in the store at any time: others write it as well. */
+    /** Allows an end from any other phase, since other controllers write terminal states too. */
     private boolean canTransitionTo(Phase next) {
       return switch (next) {
         case STORING -> false;
@@ -49,32 +49,32 @@
     }
   }
 
-  /** A finished attempt whose exit may be acknowledged once the record says so. */
+  /** A finished attempt; its exit is acknowledged once the record lists the task as done. */
   record Clear(int task, long attempt, String machine) {}
 
-  /** What is known here of the write that ends the job. */
+  /** What this controller knows about the write of the job's terminal record. */
   private enum TerminalWrite {
-    /** None is under way, and none that was can still be applied. */
+    /** No write is in flight, and no earlier one can still be applied. */
     NONE,
-    /** It has left for the store; the answer is awaited. */
+    /** A write was sent to the store and is not answered yet. */
     IN_FLIGHT,
-    /** One got no answer: it may have been applied, or may yet be. */
+    /** A write got no answer: it may have been applied, or may still be. */
     UNCONFIRMED
   }
 
   final JobSpec spec;
   final TaskEquivalenceClass equivalenceClass;
 
-  /** When it was accepted, in milliseconds of the wall clock. */
+  /** The wall-clock time of its submission, in milliseconds. */
   final long acceptedAt;
 
-  /** It was loaded from the store: an earlier owner may have started its tasks. */
+  /** Whether it was loaded from the store, so that an earlier owner may have started its tasks. */
   final boolean inherited;
 
-  /** The state of a gang's attempts; jobs of other shapes never leave its first phase. */
+  /** The state of the attempts of a gang; for other jobs it stays in its first phase. */
   final Gang gang = new Gang();
 
-  /** Where resources are reserved for it if it is a gang. */
+  /** Where resources are reserved for the job if it is a gang. */
   final GangReservation reservation = new GangReservation();
 
   final RetryState retry = new RetryState();
@@ -90,37 +90,37 @@
   /** The revision of its record in the store. */
   long revision;
 
-  /** Its record lacks something that is known here. */
+  /** Whether its stored record lacks something that is known here. */
   boolean dirty;
 
-  /** A write of finished tasks is due after a pause. */
+  /** Whether a write of finished tasks is scheduled. */
   boolean progressWriteScheduled;
 
-  /** The write of finished tasks that is under way or waits its turn. */
+  /** The write of finished tasks that is queued or in flight; null if there is none. */
   RecordWriter.Write progressWrite;
 
-  /** A write of its record is under way, or its outcome is being found out. */
+  /** Whether a write of its record is queued or in flight, or its outcome is being read back. */
   boolean writing;
 
   private TerminalWrite terminalWrite = TerminalWrite.NONE;
 
   /**
-   * Exits to acknowledge once the record says so; of a large array thousands wait at a time, and
-   * every snapshot names them again, so finding one must not go through all of them.
+   * Exits to acknowledge once the record lists their tasks as done. A hash set, because a large
+   * array has thousands and every snapshot repeats them: finding one must not take a scan.
    */
   final Set<Clear> exitsToAcknowledge = new LinkedHashSet<>();
 
-  /** Who waits for the answer to its submission. */
+  /** Callbacks for the answer to its submission. */
   final List<Consumer<ApiResponse>> submissionCallbacks = new ArrayList<>();
 
-  /** Who waits for the answer to its cancellation. */
+  /** Callbacks for the answer to its cancellation. */
   final List<Consumer<ApiResponse>> cancellationCallbacks = new ArrayList<>();
 
   /**
-   * A job whose tasks all wait.
+   * Creates a job whose tasks all wait.
    *
-   * @param acceptedAt milliseconds of the wall clock
-   * @param now the steady clock in nanoseconds
+   * @param acceptedAt the wall-clock time of its submission, in milliseconds
+   * @param now the monotonic time in nanoseconds
    */
   Job(JobSpec spec, long acceptedAt, boolean inherited, Phase phase, long now) {
     this.spec = spec;
@@ -135,7 +135,7 @@
     return phase;
   }
 
-  /** The one place where the job's phase changes. */
+  /** Changes the phase, which nothing else does, and throws if the change is invalid. */
   void transitionTo(Phase next) {
     if (!phase.canTransitionTo(next)) {
       throw new IllegalStateException(spec.id() + " is " + phase + " and cannot become " + next);
@@ -143,38 +143,38 @@
     phase = next;
   }
 
-  /** The write that ends the job leaves for the store. */
+  /** Records that a write of the terminal record is sent to the store. */
   void terminalWriteSent() {
     if (terminalWrite == TerminalWrite.NONE) {
       terminalWrite = TerminalWrite.IN_FLIGHT;
     }
   }
 
-  /** The write that left last was surely not applied; one without an answer before it still may. */
+  /** Records that the last write was not applied; an earlier unanswered one still may be. */
   void terminalWriteRejected() {
     if (terminalWrite == TerminalWrite.IN_FLIGHT) {
       terminalWrite = TerminalWrite.NONE;
     }
   }
 
-  /** The write that left last got no answer. */
+  /** Records that the last write got no answer. */
   void terminalWriteUnconfirmed() {
     terminalWrite = TerminalWrite.UNCONFIRMED;
   }
 
-  /** Whether others may read the job's end from the store although it is not known here yet. */
+  /** Returns whether the store may hold a terminal state that is not known here yet. */
   boolean terminalStateMayBeStored() {
     return terminalWrite != TerminalWrite.NONE;
   }
 
-  /** The exit is acknowledged once the job's record says that its task is done. */
+  /** Schedules the exit's acknowledgement for when the record lists its task as done. */
   void acknowledgeOnceStored(int task, long attempt, String machine) {
     if (exitsToAcknowledge.add(new Clear(task, attempt, machine))) {
       dirty = true;
     }
   }
 
-  /** Notes why its tasks wait, for its user and for the log. */
+  /** Records why its tasks wait, for its user and for the log. */
   void setWaitReason(WaitReason reason) {
     if (!reason.equals(waitReason)) {
       waitReason = reason;
@@ -184,10 +184,10 @@
     }
   }
 
-  /** Whether tasks of it wait that may be planned. */
+  /** Returns whether the job has waiting tasks that may be planned. */
   boolean runnable() {
     if (spec.gang()) {
-      // The next attempt begins only when all of the former is surely gone.
+      // The next attempt begins only after all tasks of the previous one are off their machines.
       return phase == Phase.OPEN
           && gang.phase() == Gang.Phase.WAITING
           && tasks.waitingCount() == spec.tasks();
@@ -195,12 +195,12 @@
     return phase == Phase.OPEN && tasks.waitingCount() > 0;
   }
 
-  /** Whether some task of it ever had a placement that is known here. */
+  /** Returns whether a placement of one of its tasks was ever recorded here. */
   boolean hasStarted() {
     return started;
   }
 
-  /** Whether all unfinished tasks run; true the first time only. */
+  /** Returns whether all unfinished tasks run; true the first time only. */
   boolean becameFullyRunning() {
     boolean fullyRunning =
         tasks.waitingCount() == 0 && placements.running() == tasks.unfinishedCount();
@@ -211,7 +211,7 @@
     return true;
   }
 
-  /** Whether one of its tasks was stopped, without a request from here, for another job. */
+  /** Returns whether one of its tasks was stopped for another job, not at this owner's request. */
   boolean wasPreempted() {
     return wasPreempted;
   }
@@ -220,12 +220,12 @@
     wasPreempted = true;
   }
 
-  /** Whether preemption may be requested for it again. */
+  /** Returns whether preemption may be requested for the job again. */
   boolean mayPreempt(long nowMs) {
     return nextPreemptionAtMs <= nowMs;
   }
 
-  /** Preemption is requested for it: the next request follows after a pause. */
+  /** Records a preemption request for the job and delays the next one. */
   void preemptionRequested(long nowMs) {
     nextPreemptionAtMs = nowMs + JobConstants.PREEMPTION_INTERVAL_MS;
   }
@@ -235,9 +235,9 @@
   }
 
   /**
-   * An open job as its record tells of it; a former owner may have started its tasks.
+   * Creates an open job from its record; a former owner may have started its tasks.
    *
-   * @param now the steady clock in nanoseconds
+   * @param now the monotonic time in nanoseconds
    */
   static Job inherited(JobReadResult.Open stored, long now) {
     Job job = new Job(stored.spec(), stored.acceptedAt(), true, Phase.OPEN, now);
@@ -246,24 +246,26 @@
     return job;
   }
 
-  /** The task's placement, or null when it waits or is done. */
+  /** Returns the task's placement, or null if it has none. */
   TaskPlacement placementOf(int task) {
     return placements.of(task);
   }
 
-  /** A copy, since most that is done with them changes them. */
+  /** Returns a copy, since callers change the placements as they go through them. */
   List<TaskPlacement> placements() {
     return placements.all();
   }
 
-  /** The task is, or may soon be, on its machine. */
+  /** Records that the task is, or may soon be, on its machine. */
   void recordPlacement(TaskPlacement placement) {
     started = true;
     placements.put(placement);
     tasks.stopWaiting(placement.task);
   }
 
-  /** The attempt is off its machine; unless the task is done, it waits again. */
+  /**
+   * Removes the placement of an attempt that is off its machine; an unfinished task waits again.
+   */
   void releasePlacement(TaskPlacement placement, long now) {
     if (placements.remove(placement)) {
       tasks.startWaiting(placement.task, now);
@@ -274,7 +276,7 @@
     placements.phaseChanged(placement, ranBefore);
   }
 
-  /** The task is done: for a gang all are, since its tasks complete together. */
+  /** Marks the task as done; for a gang all tasks, since they complete together. */
   void complete(int task) {
     if (!spec.gang()) {
       markDone(task);
@@ -291,7 +293,7 @@
     }
   }
 
-  /** Tasks that are, or may be, on a machine. */
+  /** Returns the number of tasks that are, or may be, on a machine. */
   int placementCount() {
     return placements.count();
   }
@@ -300,12 +302,12 @@
     return placements.running();
   }
 
-  /** What its tasks ask of machines now. */
+  /** Returns what its tasks require of machines, given their placements. */
   ResourceRequest resourceRequest() {
     return resourceRequest(placements.zones(), placements.machines());
   }
 
-  /** What its tasks would ask of machines if this placement of its own were not there. */
+  /** Returns what its tasks would require of machines without this placement. */
   ResourceRequest resourceRequestWithout(TaskPlacement excluded) {
     Map<String, Integer> zones = placements.zones();
     Set<String> machines = placements.machines();
@@ -340,7 +342,7 @@
         spec.image());
   }
 
-  /** What the user is told now. */
+  /** Returns the job's current status for its user. */
   ObjectNode status() {
     String state =
         switch (phase) {
--- a/src/main/java/org/sandford/job/JobAcceptance.java
+++ b/src/main/java/org/sandford/job/JobAcceptance.java
@@ -17,12 +17,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts new jobs. A job is accepted once its record is stored; a write whose outcome is not known
- * is read back before anything else is written.
+ * Accepts new jobs. A job is accepted once its record is stored. After a write with an unknown
+ * outcome, the record is read before anything else is written.
  *
  * <p>Submissions are idempotent by job id: the record is created only if the id was never used, and
- * a repeated submission gets the current state of the job that was accepted under the id first,
- * also if it names another body.
+ * a repeated submission gets the current state of the job that was first accepted under the id,
+ * even if its body differs.
  *
  * <p>Runs on the event loop.
  */
@@ -97,7 +97,7 @@
     }
   }
 
-  /** A job that was accepted before, and of which only the store can tell how far it is. */
+  /** Answers for a job that was accepted before and whose state only the store can tell. */
   private void answerRepeatedFromStore(String id, Consumer<ApiResponse> answer) {
     answers.fromStore(
         id, found -> answer.accept(found.status() == HttpStatus.OK ? found : NOT_STORED));
@@ -128,7 +128,7 @@
     }
   }
 
-  /** The job was surely not stored. */
+  /** Refuses a job that was certainly not stored. */
   private void rejectSubmission(Job job, ApiResponse refusal) {
     owned.remove(job);
     answerSubmissions(job, refusal);
@@ -152,7 +152,7 @@
     waiting.forEach(callback -> callback.accept(answer));
   }
 
-  /** The store holds a job of this id, or may: it is read before anything else is written. */
+  /** Reads the record before anything else is written: the store may hold a job of this id. */
   private void readBack(Job job) {
     if (isBeingStored(job)) {
       jobReader.read(
@@ -188,16 +188,16 @@
   }
 
   /**
-   * Whether the write of this controller created the record. Tasks may have been started under
-   * another controller's record, so that counts as inherited.
+   * Returns whether this controller's write created the record. A job that another controller
+   * recorded counts as inherited, since its tasks may have been started.
    */
   private static boolean isRecordOf(Job job, JobReadResult.Open open) {
     return open.acceptedAt() == job.acceptedAt && open.spec().equals(job.spec);
   }
 
-  /** The id was used before, perhaps with another body: that first one is the job. */
+  /** Replaces the job by the stored one that first used its id, perhaps with another body. */
   private void adoptStoredJob(Job job, JobReadResult.Open open) {
-    // Some of its submitters came after this read had begun, so it cannot answer them.
+    // Some submissions came after this read began, so the read cannot answer them.
     List<Consumer<ApiResponse>> submissionCallbacks = new ArrayList<>(job.submissionCallbacks);
     owned.remove(job);
     adoption.adoptIfUnknown(open);
@@ -205,8 +205,8 @@
   }
 
   /**
-   * Stores a job whose team's owner cannot take it just now: the record alone makes it accepted.
-   * Only the owner ever starts its tasks; a key that all controllers watch tells it of the job.
+   * Stores a job whose team's owner cannot take it at present; the record alone makes it accepted.
+   * Only the owner ever starts its tasks; a key that all controllers watch announces the job to it.
    */
   void storeOnBehalfOfOwner(JobSpec spec, Consumer<ApiResponse> answer) {
     if (recordStore.isOverloaded()) {
--- a/src/main/java/org/sandford/job/JobAdoption.java
+++ b/src/main/java/org/sandford/job/JobAdoption.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes up open jobs of owned teams that the store holds and that are not known here, because
- * another controller stored them. A key in the store tells of each such job until it is taken up.
+ * Adopts open jobs of owned teams that another controller stored, so that they are not known here.
+ * A key in the store announces each such job until it is adopted.
  *
  * <p>Has no state of its own; runs on the event loop.
  */
@@ -41,12 +41,12 @@
     this.listener = listener;
   }
 
-  /** Takes up all jobs that keys in the store tell of. */
+  /** Adopts all jobs that keys in the store announce. */
   void adoptNewJobs() {
     new TreeMap<>(cluster.newJobs()).forEach((id, newJob) -> adoptNewJob(id, newJob.team()));
   }
 
-  /** Takes up a job that another controller stored, and removes the key that told of it. */
+  /** Adopts a job that another controller stored, and removes the key that announced it. */
   void adoptNewJob(String id, String teamName) {
     Team team = owned.team(teamName);
     if (team == null || !team.isServed()) {
@@ -54,8 +54,8 @@
     }
     Job known = owned.job(id);
     if (known != null && known.phase() == Job.Phase.STORING) {
-      // The write of this controller may yet fail, and then the job is forgotten here: the key
-      // stays for the next check.
+      // If this controller's own write fails, the job is removed here, so the key stays for the
+      // next check.
       return;
     }
     if (known != null || terminalStates.contains(id)) {
@@ -82,11 +82,11 @@
     }
   }
 
-  /** Takes up a stored job, unless its team is not owned here or the job is known already. */
+  /** Adopts a stored job, unless its team is not owned here or the job is already known. */
   void adoptIfUnknown(JobReadResult.Open stored) {
     JobSpec spec = stored.spec();
     Team team = owned.team(spec.team());
-    // The read may be older than an end that became known meanwhile.
+    // The read may be older than a terminal state that became known meanwhile.
     boolean ended = terminalStates.contains(spec.id());
     if (team == null || !team.isServed() || owned.knows(spec.id()) || ended) {
       return;
--- a/src/main/java/org/sandford/job/JobAnswers.java
+++ b/src/main/java/org/sandford/job/JobAnswers.java
@@ -7,15 +7,15 @@
 import org.sandford.model.HttpStatus;
 
 /**
- * The one place that decides what may be said of a job that was accepted. An answer must not be
- * older than any that some controller has given before the question came, so it rests on one of
- * three things:
+ * The one place that decides what users may be told about an accepted job. An answer must not be
+ * older than any that a controller gave before the request came, so it rests on one of three
+ * sources:
  *
  * <ul>
  *   <li>a stored terminal state, which never changes;
- *   <li>the owner's memory, while nobody but the owner can change the job's record, and the owner
- *       itself has no write under way that ends the job;
- *   <li>a read of the store that began after the question came.
+ *   <li>the owner's memory, while only the owner can change the job's record and has no write in
+ *       flight that ends the job;
+ *   <li>a read of the store that began after the request came.
  * </ul>
  *
  * <p>Runs on the event loop.
@@ -33,7 +33,7 @@
     this.jobReader = jobReader;
   }
 
-  /** The answer about a job whose terminal state is known here; empty when none is. */
+  /** Returns the answer about a job whose terminal state is known here; otherwise empty. */
   public Optional<ApiResponse> ended(String id) {
     Optional<TerminalState> state = terminalStates.get(id);
     if (state.isPresent()) {
@@ -46,7 +46,7 @@
         : Optional.of(ApiResponse.of(HttpStatus.OK, job.status(), REMEMBERED_END));
   }
 
-  /** What may be said without asking anybody; empty when only the store can tell. */
+  /** Returns the answer from memory; empty if only the store can tell. */
   public Optional<ApiResponse> fromMemory(String id) {
     Optional<ApiResponse> ended = ended(id);
     return ended.isPresent() ? ended : fromOwnerMemory(id);
@@ -54,8 +54,8 @@
 
   private Optional<ApiResponse> fromOwnerMemory(String id) {
     Job job = owned.job(id);
-    // While its terminal write is under way the job may have ended for all who read the store, and
-    // whose answers to that can be quicker than the writer's own.
+    // While its terminal write is in flight, other controllers may read the job's end from the
+    // store and report it before the writer gets its own answer.
     if (job == null
         || job.phase() == Job.Phase.STORING
         || job.terminalStateMayBeStored()
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Answers from a read of the store that begins now; the store alone may say that there is no such
-   * job. Without its answer a 503 follows within the store's call timeout.
+   * Answers from a read of the store that begins now; only the store can prove that no such job
+   * exists. If the store does not answer, a 503 follows within the store's call timeout.
    */
   public void fromStore(String id, Consumer<ApiResponse> answer) {
     jobReader.read(id, found -> answer.accept(fromReadResult(id, found)));
@@ -91,7 +91,7 @@
                       new Provenance.StoreRead(open.revision())));
     }
     if (found instanceof JobReadResult.Absent) {
-      // It may have been accepted while the reads were under way.
+      // The job may have been accepted during the reads.
       return fromMemory(id)
           .orElseGet(() -> ApiResponse.refuse(HttpStatus.NOT_FOUND, "no job has this id"));
     }
--- a/src/main/java/org/sandford/job/JobCancellation.java
+++ b/src/main/java/org/sandford/job/JobCancellation.java
@@ -20,8 +20,8 @@
   }
 
   /**
-   * Cancels the job; it is answered once its terminal state is stored. False, without an answer,
-   * when the job is not known here.
+   * Cancels the job and answers once its terminal state is stored. Returns false, without an
+   * answer, if the job is not known here.
    */
   boolean abort(String id, Consumer<ApiResponse> answer) {
     Optional<ApiResponse> ended = answers.ended(id);
--- a/src/main/java/org/sandford/job/JobReadResult.java
+++ b/src/main/java/org/sandford/job/JobReadResult.java
@@ -3,13 +3,13 @@
 import com.google.common.collect.RangeSet;
 import org.sandford.model.JobSpec;
 
-/** What a read of the store found out about one job. */
+/** The result of reading one job from the store. */
 public sealed interface JobReadResult {
   /**
    * The job was accepted and has not ended.
    *
    * @param spec what its user submitted
-   * @param acceptedAt the time of day at which it was submitted, in milliseconds
+   * @param acceptedAt the wall-clock time of its submission, in milliseconds
    * @param finishedTasks the tasks that are recorded as finished
    * @param revision the revision of the open job's record
    */
--- a/src/main/java/org/sandford/job/JobReader.java
+++ b/src/main/java/org/sandford/job/JobReader.java
@@ -12,7 +12,7 @@
 import org.sandford.store.StoreClient.Priority;
 
 /**
- * Reads single jobs from the store, and caches what never changes about a job.
+ * Reads single jobs from the store, and caches the facts of a job that never change.
  *
  * <p>A read looks for an open job first and for a terminal record second. An open job only ever
  * becomes a terminal one, so a job that neither read finds was not accepted before the first began.
@@ -23,7 +23,7 @@
   private static final JobReadResult ABSENT = new JobReadResult.Absent();
   private static final JobReadResult UNAVAILABLE = new JobReadResult.Unavailable();
 
-  /** What never changes about a job. */
+  /** The facts of a job that never change. */
   private record ImmutableFacts(String team, Resources taskSize) {}
 
   private final StoreClient storeClient;
@@ -35,33 +35,33 @@
           .executor(Runnable::run)
           .build();
 
-  /** The terminal states that reads find are put into {@code terminalStates}. */
+  /** Creates a reader that puts the terminal states it finds into {@code terminalStates}. */
   public JobReader(StoreClient storeClient, TerminalStates terminalStates, AuditLog audit) {
     this.storeClient = storeClient;
     this.terminalStates = terminalStates;
     this.audit = audit;
   }
 
-  /** The team of a job, which never changes; null when it is not cached. */
+  /** Returns the job's team, which never changes; null if it is not cached. */
   public String teamOf(String job) {
     ImmutableFacts facts = factsByJob.getIfPresent(job);
     return facts == null ? null : facts.team;
   }
 
-  /** What each task of the job holds, which never changes; null when it is not cached. */
+  /** Returns what each task of the job uses, which never changes; null if it is not cached. */
   Resources taskSizeOf(String job) {
     ImmutableFacts facts = factsByJob.getIfPresent(job);
     return facts == null ? null : facts.taskSize;
   }
 
-  /** Caches what never changes about the job. */
+  /** Caches the facts of the job that never change. */
   public void remember(JobSpec spec) {
     factsByJob.put(spec.id(), new ImmutableFacts(spec.team(), Resources.ofTask(spec)));
   }
 
   /**
-   * Reads a job. {@code onResult} runs once; it gets {@link JobReadResult.Unavailable} when the
-   * store does not answer.
+   * Reads a job. {@code onResult} runs once; it gets {@link JobReadResult.Unavailable} if the store
+   * does not answer.
    */
   public void read(String job, Consumer<JobReadResult> onResult) {
     readRecord(
--- a/src/main/java/org/sandford/job/JobRecordCodec.java
+++ b/src/main/java/org/sandford/job/JobRecordCodec.java
@@ -8,9 +8,9 @@
 import org.sandford.store.StoreClient.Entry;
 
 /**
- * The JSON form of a job's records in the store. Field names are short because a store value and a
- * transaction are limited in bytes; controllers of the production version read the same records, so
- * neither names nor their order may change.
+ * Converts a job's records in the store to and from JSON. Field names are short because store
+ * values and transactions are limited in bytes. Controllers of the production version read the same
+ * records, so neither the names nor their order may change.
  */
 final class JobRecordCodec {
   private static final String OPEN_ACCEPTED_AT = "a";
@@ -21,16 +21,16 @@
   private static final String TERMINAL_TASKS = "n";
   private static final String NEW_JOB_TEAM = "t";
 
-  /** Bytes that the finished tasks' field name and the punctuation around it take at most. */
+  /** The most bytes that the name of the finished tasks' field and its punctuation take. */
   private static final int FINISHED_TASKS_OVERHEAD_BYTES = 16;
 
   private JobRecordCodec() {}
 
   /**
-   * The record of an open job.
+   * Returns the record of an open job.
    *
-   * @param acceptedAt the time of day at which it was submitted, in milliseconds
-   * @param maxBytes the most bytes of a store value; finished tasks that do not fit are left out
+   * @param acceptedAt the wall-clock time of its submission, in milliseconds
+   * @param maxBytes the size limit of a store value; finished tasks that do not fit are left out
    */
   static ObjectNode openRecord(
       JobSpec spec, long acceptedAt, RangeSet<Integer> finishedTasks, int maxBytes) {
@@ -41,33 +41,33 @@
     return record;
   }
 
-  /** An open job from its record, whose spec was read already. */
+  /** Returns the open job of a record whose spec was already read. */
   static JobReadResult.Open openJob(JobSpec spec, Entry entry) {
     return new JobReadResult.Open(
         spec, acceptedAt(entry.value()), finishedTasks(entry.value()), entry.revision());
   }
 
-  /** The team of a job that ended; empty where the record does not tell. */
+  /** Returns the team of an ended job; empty if the record lacks it. */
   static String terminalTeam(JsonNode terminalRecord) {
     return terminalRecord.path(TERMINAL_TEAM).asText();
   }
 
-  /** The number of all tasks of a job that ended; 0 where the record does not tell. */
+  /** Returns the number of all tasks of an ended job; 0 if the record lacks it. */
   static int terminalTasks(JsonNode terminalRecord) {
     return terminalRecord.path(TERMINAL_TASKS).asInt();
   }
 
-  /** The time of day at which an open job was submitted, in milliseconds. */
+  /** Returns the wall-clock time at which an open job was submitted, in milliseconds. */
   private static long acceptedAt(JsonNode openRecord) {
     return openRecord.path(OPEN_ACCEPTED_AT).asLong();
   }
 
-  /** The finished tasks in an open job's record. */
+  /** Returns the finished tasks in an open job's record. */
   static RangeSet<Integer> finishedTasks(JsonNode openRecord) {
     return TaskRanges.read(openRecord.path(OPEN_FINISHED_TASKS));
   }
 
-  /** The record that replaces an open job's record when the job ends. */
+  /** Returns the record that replaces an open job's record when the job ends. */
   static ObjectNode terminalRecord(JobSpec spec, TerminalState state) {
     return Json.object()
         .put(TERMINAL_STATE, state.wireName())
@@ -75,17 +75,20 @@
         .put(TERMINAL_TASKS, spec.tasks());
   }
 
-  /** How a job ended, from its terminal record. */
+  /** Returns how a job ended according to its terminal record. */
   static TerminalState terminalState(JsonNode terminalRecord) {
     return TerminalState.of(terminalRecord.path(TERMINAL_STATE).asText());
   }
 
-  /** A terminal record of a job of which only the state is known. */
+  /** Returns the terminal record of a job of which only the state is known. */
   static ObjectNode terminalStateOnly(TerminalState state) {
     return Json.object().put(TERMINAL_STATE, state.wireName());
   }
 
-  /** The value of the key that tells a team's owner of a job stored on its behalf. */
+  /**
+   * Returns the value of the key that announces a job to the team's owner on whose behalf it was
+   * stored.
+   */
   static ObjectNode newJobKeyValue(String team) {
     return Json.object().put(NEW_JOB_TEAM, team);
   }
--- a/src/main/java/org/sandford/job/JobRecordStore.java
+++ b/src/main/java/org/sandford/job/JobRecordStore.java
@@ -17,9 +17,9 @@
 import org.sandford.store.StoreClient.TransactionResult;
 
 /**
- * The writes of job records, each a compare-and-swap. A new job's record is written only if its id
- * was never used, so that a repeated submission creates nothing. The owner's writes also require
- * that the teams' assignment is the one known here, so that a former owner's late write fails.
+ * Writes job records, each by compare-and-swap. A new job's record is written only if its id was
+ * never used, so that a repeated submission creates nothing. The owner's writes also require the
+ * teams' assignment that is known here, so that a former owner's late write fails.
  *
  * <p>Has no state of its own; runs on the event loop.
  */
@@ -36,7 +36,7 @@
     this.writer = writer;
   }
 
-  /** Whether a new record would wait too long for the store. */
+  /** Returns whether a new record would wait too long for the store. */
   boolean isOverloaded() {
     double perSecond = settings.facts().stateWriteRps() * StoreConstants.STORE_RATE_SHARE;
     return writer.backlog() >= perSecond * ApiConstants.MAX_QUEUED_RECORDS_S;
@@ -57,10 +57,10 @@
   }
 
   /**
-   * Creates the record of a new job of a team of another controller, with a key that tells the
-   * owner of it.
+   * Creates the record of a new job of another controller's team, with a key that announces it to
+   * the owner.
    *
-   * @param acceptedAt the time of day, in milliseconds
+   * @param acceptedAt the wall-clock time of its submission, in milliseconds
    */
   void createForOwner(JobSpec spec, long acceptedAt, Consumer<TransactionResult> onResult) {
     ObjectNode record =
@@ -76,13 +76,13 @@
             onResult));
   }
 
-  /** The record of the job as it is now, with as many finished tasks as fit. */
+  /** Returns the job's current record, with as many finished tasks as fit. */
   ObjectNode openRecord(Job job) {
     return JobRecordCodec.openRecord(
         job.spec, job.acceptedAt, job.tasks.done(), settings.facts().stateValueBytes());
   }
 
-  /** Replaces the record of an open job; the write may be withdrawn until it is sent. */
+  /** Returns a write, not yet queued, that replaces the record of an open job. */
   RecordWriter.Write progressWrite(
       Job job, ObjectNode record, Consumer<TransactionResult> onResult) {
     return new RecordWriter.Write(
@@ -95,8 +95,8 @@
   /**
    * Replaces the record of an open job by its terminal record.
    *
-   * @param onSent gets the revision of the teams' assignment that the write requires, when it is
-   *     put into a transaction: from then on it may be applied
+   * @param onSent gets the revision of the teams' assignment that the write requires, when the
+   *     write is put into a transaction and may be applied from then on
    */
   void replaceWithTerminalRecord(
       Job job, TerminalState state, LongConsumer onSent, Consumer<TransactionResult> onResult) {
@@ -115,19 +115,19 @@
             onResult));
   }
 
-  /** Enqueues a write. */
+  /** Queues a write, which may be withdrawn until it is sent. */
   void enqueue(RecordWriter.Write write) {
     writer.write(write);
   }
 
-  /** Takes back a write that was not sent; false when it was. */
+  /** Withdraws a queued write; returns false if it was already sent. */
   boolean withdraw(RecordWriter.Write write) {
     return writer.withdraw(write);
   }
 
   /**
-   * Removes the key that told of a job, if it is unchanged: carried out late, the removal finds
-   * another revision or none.
+   * Removes the key that announced a job if its revision is unchanged: a late removal finds another
+   * revision or no key, and does nothing.
    */
   void removeNewJobKey(String id, long revision) {
     String key = Cluster.newJobKey(id);
@@ -139,7 +139,7 @@
             result -> {}));
   }
 
-  /** Neither an open job nor one that has ended has the id. */
+  /** Returns the conditions that neither an open nor an ended job has the id. */
   private static Map<String, Long> idNeverUsed(String id) {
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(OpenJobReader.OPEN_PREFIX + id, KEY_ABSENT);
@@ -147,6 +147,7 @@
     return conditions;
   }
 
+  /** Returns the conditions that the job's record and the teams' assignment are as known here. */
   private Map<String, Long> recordUnchanged(Job job) {
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(OpenJobReader.OPEN_PREFIX + job.spec.id(), job.revision);
--- a/src/main/java/org/sandford/job/JobRecords.java
+++ b/src/main/java/org/sandford/job/JobRecords.java
@@ -21,21 +21,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the store's records of owned jobs up to date: finished tasks while a job is open, and its
- * terminal record. A job has one write under way at a time, and one whose outcome is unknown is
- * read back before the next.
+ * Keeps the stored records of owned jobs up to date: the finished tasks of an open job, and its
+ * terminal record. A job has at most one write in flight. After a write with an unknown outcome,
+ * the record is read before the next write.
  *
  * <p>Runs on the event loop.
  */
 final class JobRecords {
   private static final Logger log = LoggerFactory.getLogger(JobRecords.class);
 
-  /** Told of what is stored. */
+  /** Listener for job records that were stored. */
   interface Stored {
-    /** The job's terminal state is stored, so it may be told. */
+    /** Handles a stored terminal state, which users may now be told. */
     void ended(Job job, TerminalState state);
 
-    /** The finished task is stored, so its result may be cleared from its worker. */
+    /** Handles a stored finished task, whose result may now be cleared from its worker. */
     void stored(Job job, Job.Clear exit);
   }
 
@@ -63,7 +63,7 @@
     this.listener = listener;
   }
 
-  /** Writes what the job's record lacks, unless a write of it is under way. */
+  /** Writes what the job's record lacks, unless a write is in flight. */
   void flush(Job job) {
     if (isEnding(job)) {
       withdrawProgressWrite(job);
@@ -84,7 +84,7 @@
     return job.phase() == Job.Phase.ABORTING || job.allDone();
   }
 
-  /** The terminal record makes it unnecessary, and must not wait behind it. */
+  /** Withdraws a progress write that the terminal record replaces and must not wait for. */
   private void withdrawProgressWrite(Job job) {
     if (job.progressWrite != null && recordStore.withdraw(job.progressWrite)) {
       job.progressWrite = null;
@@ -181,8 +181,8 @@
   }
 
   /**
-   * What was surely not applied is written again. After a conflict over the record, or without an
-   * answer, only a read tells what the store holds.
+   * Retries a write that was certainly not applied. After a conflict on the record, or without an
+   * answer, it reads the record first, since only that tells what the store holds.
    */
   private void handleFailedWrite(Job job, TransactionResult result) {
     if (result.outcome() == Outcome.REFUSED) {
@@ -201,7 +201,7 @@
     jobReader.read(job.spec.id(), found -> applyStoredState(job, found, failedWrite));
   }
 
-  /** Takes over what the store holds of the job; the record there is the truth. */
+  /** Applies the stored state of the job, which overrides the state in memory. */
   private void applyStoredState(Job job, JobReadResult found, TransactionResult failedWrite) {
     job.writing = false;
     if (!owned.isCurrent(job)) {
--- a/src/main/java/org/sandford/job/JobStatus.java
+++ b/src/main/java/org/sandford/job/JobStatus.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.sandford.runtime.Json;
 
-/** Answers to users about jobs of which this controller has no more than a record. */
+/** Builds the answers to users about jobs of which this controller knows only the record. */
 final class JobStatus {
   private static final String JOB_ID = "name_id";
   private static final String STATUS = "status";
@@ -14,17 +14,17 @@
 
   private JobStatus() {}
 
-  /** The answer for a job that has just been accepted. */
+  /** Returns the answer for a job that has just been accepted. */
   static ObjectNode accepted(String id) {
     return Json.object().put(JOB_ID, id).put(STATUS, QUEUED);
   }
 
-  /** The answer for a job that has ended. */
+  /** Returns the answer for a job that has ended. */
   static ObjectNode terminal(String id, TerminalState state) {
     return Json.object().put(JOB_ID, id).put(STATUS, state.wireName());
   }
 
-  /** The answer from an open job's record, which does not say how many tasks run. */
+  /** Returns the answer from an open job's record, which lacks the number of running tasks. */
   static ObjectNode open(JobReadResult.Open job) {
     int finished = TaskRanges.count(job.finishedTasks());
     return Json.object()
--- a/src/main/java/org/sandford/job/JobTermination.java
+++ b/src/main/java/org/sandford/job/JobTermination.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What follows once a job's terminal state is stored: it is answered, what is left of the job on
- * machines is stopped, and the job counts against its team's quota until that is gone. Runs on the
+ * Completes jobs whose terminal state is stored: answers their users and stops their remaining
+ * tasks. A job counts against its team's quota until its tasks are off their machines. Runs on the
  * event loop.
  */
 final class JobTermination {
@@ -39,8 +39,8 @@
   }
 
   /**
-   * The job's terminal state is stored: it may be answered, and tasks that are left on machines
-   * have to go.
+   * Ends a job whose terminal state is stored: answers its cancellations, and stops tasks that are
+   * left on machines.
    */
   void ended(Job job, TerminalState state) {
     job.transitionTo(state == TerminalState.DONE ? Job.Phase.DONE : Job.Phase.ABORTED);
@@ -61,7 +61,7 @@
     timer.requestRound();
   }
 
-  /** Repeats the stops until every task is surely off its machine. */
+  /** Repeats the stops until every task is known to be off its machine. */
   private void stopUntilReleased(Job job) {
     if (job.placementCount() == 0 || !owned.isCurrent(job)) {
       owned.remove(job);
--- a/src/main/java/org/sandford/job/OpenJobAudit.java
+++ b/src/main/java/org/sandford/job/OpenJobAudit.java
@@ -8,9 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Compares the store's open jobs with those that are known here, and has any that is missing taken
- * up. No job should ever be missing; the audit bounds how long a fault would leave one without an
- * owner.
+ * Compares the store's open jobs with those that are known here, and adopts any that is missing. No
+ * job should ever be missing; the audit limits how long a fault could leave one without an owner.
  *
  * <p>Has no state of its own; runs on the event loop.
  */
@@ -53,7 +52,7 @@
     String team = spec.team();
     if (owned.owns(team) && !owned.knows(id) && !terminalStates.contains(id)) {
       log.info("open job unknown to its owner job={} team={}", id, team);
-      // The listing may be older than the job's end, so the job is read once more.
+      // The listing may be older than the job's end, so the job is read again.
       adoption.adoptNewJob(id, team);
     }
   }
--- a/src/main/java/org/sandford/job/OpenJobLoader.java
+++ b/src/main/java/org/sandford/job/OpenJobLoader.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the open jobs of teams that were just acquired from the store. Runs on the event loop. */
+/** Reads the open jobs of newly acquired teams from the store. Runs on the event loop. */
 final class OpenJobLoader {
   private static final Logger log = LoggerFactory.getLogger(OpenJobLoader.class);
 
@@ -30,11 +30,11 @@
   }
 
   /**
-   * Loads the teams' jobs. A team that is acquired while a listing is under way needs one of its
-   * own: that one may show jobs that the former owner ended since, and lack jobs that it accepted
-   * and started.
+   * Loads the teams' jobs. A team that is acquired during a listing needs a new one: the earlier
+   * listing may show jobs that the former owner has ended since, and lack jobs that it accepted and
+   * started.
    *
-   * @param whenLoaded gets the ids of the jobs that became known
+   * @param whenLoaded gets the ids of the adopted jobs
    */
   void load(List<Team> acquired, Consumer<Set<String>> whenLoaded) {
     store.openJobs(
@@ -55,7 +55,7 @@
     openJobs.forEach(
         (id, entry) -> {
           JobSpec spec = OpenJobReader.spec(id, entry.value());
-          // The listing may be older than an end that became known meanwhile.
+          // The listing may be older than a terminal state that became known meanwhile.
           if (spec.team().equals(team.name) && !owned.knows(id) && !terminalStates.contains(id)) {
             owned.add(team, inheritedJob(spec, entry));
             adoptedIds.add(id);
--- a/src/main/java/org/sandford/job/OwnedJobs.java
+++ b/src/main/java/org/sandford/job/OwnedJobs.java
@@ -9,7 +9,7 @@
 import org.sandford.model.ApiResponse;
 
 /**
- * The teams that this controller owns, and their jobs: open ones, and those that ended and still
+ * Holds the teams that this controller owns, and their jobs: open ones, and ended ones that still
  * have placements. Used on the event loop.
  */
 final class OwnedJobs {
@@ -25,12 +25,12 @@
     this.candidates = candidates;
   }
 
-  /** The teams by name; only {@link TeamOwnership} changes them. */
+  /** Returns the teams by name; only {@link TeamOwnership} changes them. */
   Map<String, Team> teams() {
     return teams;
   }
 
-  /** The jobs of all teams by id. */
+  /** Returns the jobs of all teams by id. */
   Map<String, Job> jobs() {
     return jobs;
   }
@@ -56,14 +56,17 @@
   }
 
   /**
-   * Whether this very job is known still: its team may have been relinquished, or the job replaced
-   * by another of its id.
+   * Returns whether this very object is still held: its team may have been relinquished, or another
+   * job may have replaced it under the same id.
    */
   boolean isCurrent(Job job) {
     return jobs.get(job.spec.id()) == job;
   }
 
-  /** The answer to a call for a team that this controller cannot serve now; null if it can. */
+  /**
+   * Returns the refusal of a request for a team that this controller cannot serve now; null if it
+   * can.
+   */
   ApiResponse refusalFor(String team) {
     Team owned = teams.get(team);
     if (owned == null || !owned.isServed() || !cluster.sessionLeaseValid()) {
@@ -75,12 +78,12 @@
     return null;
   }
 
-  /** The provenance of an answer from memory for a team of this controller. */
+  /** Returns the provenance of an answer from memory for a team of this controller. */
   Provenance ownerMemory(String team) {
     return new Provenance.OwnerMemory(cluster.incarnationId(), teams.get(team).generation);
   }
 
-  /** Forgets the job and its placements. */
+  /** Removes the job and its placements. */
   void remove(Job job) {
     jobs.remove(job.spec.id(), job);
     job.placements().forEach(candidates::removePlacement);
@@ -90,7 +93,7 @@
     }
   }
 
-  /** Adds a job to one of the teams. */
+  /** Adds a job to one of the teams and caches its immutable facts. */
   void add(Team team, Job job) {
     team.jobs.put(job.spec.id(), job);
     jobs.put(job.spec.id(), job);
--- a/src/main/java/org/sandford/job/RetryState.java
+++ b/src/main/java/org/sandford/job/RetryState.java
@@ -5,11 +5,11 @@
 import org.sandford.constants.JobConstants;
 
 /**
- * When the tasks of one job may be tried again after failures and refusals, and which machines they
- * avoid then. Used on the event loop.
+ * Tracks when the tasks of one job may be retried after failures and refusals, and which machines
+ * they avoid then. Used on the event loop.
  */
 final class RetryState {
-  /** Doublings after which the backoff is past its maximum. */
+  /** The number of doublings after which the backoff exceeds its maximum. */
   private static final int MAX_BACKOFF_DOUBLINGS = 7;
 
   private final Set<String> avoidedMachines = new HashSet<>();
@@ -17,17 +17,17 @@
   private long notBeforeMs;
   private WaitReason lastFailure = WaitReason.NONE;
 
-  /** Whether the job may be planned at this time of the event loop, in milliseconds. */
+  /** Returns whether the job may be planned at this event loop time, in milliseconds. */
   boolean isDue(long nowMs) {
     return notBeforeMs <= nowMs;
   }
 
-  /** Puts the next attempt off until then at the earliest. */
+  /** Delays the next attempt until at least this time. */
   void delayUntil(long timeMs) {
     notBeforeMs = Math.max(notBeforeMs, timeMs);
   }
 
-  /** A task failed; returns for how many milliseconds the job backs off. */
+  /** Records a task failure; returns the job's backoff in milliseconds. */
   long recordFailure(WaitReason.TaskFailed failure) {
     consecutiveFailures++;
     avoidedMachines.add(failure.machine());
@@ -37,22 +37,22 @@
     return Math.min(backoffMs, JobConstants.ERROR_BACKOFF_MAX_MS);
   }
 
-  /** A task runs, so failures that follow count anew. */
+  /** Resets the backoff, because a task runs. */
   void resetBackoff() {
     consecutiveFailures = 0;
   }
 
-  /** The last failure of a task, or {@link WaitReason#NONE}. */
+  /** Returns the last failure of a task, or {@link WaitReason#NONE}. */
   WaitReason lastFailure() {
     return lastFailure;
   }
 
-  /** Machines on which a task failed; the set itself, which planning reads without a copy. */
+  /** Returns the machines on which a task failed; the set itself, which planning reads uncopied. */
   Set<String> avoidedMachines() {
     return avoidedMachines;
   }
 
-  /** Allows all machines again; false when none was avoided. */
+  /** Allows all machines again; returns false if none was avoided. */
   boolean forgetAvoidedMachines() {
     boolean avoided = !avoidedMachines.isEmpty();
     avoidedMachines.clear();
--- a/src/main/java/org/sandford/job/Submissions.java
+++ b/src/main/java/org/sandford/job/Submissions.java
@@ -10,19 +10,19 @@
 import org.sandford.store.RecordWriter;
 
 /**
- * The ways by which a job becomes one of this controller's: submitted here, or stored by another
- * controller for a team of this one. Assembles {@link JobAcceptance}, {@link JobAdoption} and
- * {@link OpenJobAudit}, and decides nothing itself.
+ * Entry point for the jobs that this controller gains: those submitted here, and those that another
+ * controller stored for a team of this one. Assembles {@link JobAcceptance}, {@link JobAdoption}
+ * and {@link OpenJobAudit}, and decides nothing itself.
  *
  * <p>Runs on the event loop.
  */
 final class Submissions {
-  /** Told of what became of the jobs of this controller's teams. */
+  /** Listener for new jobs of this controller's teams. */
   interface Changes {
-    /** Jobs wait that did not wait before. */
+    /** Handles newly waiting jobs. */
     void jobsChanged();
 
-    /** A job was taken up whose tasks a former owner may have started. */
+    /** Handles an adopted job, whose tasks a former owner may have started. */
     void jobFound(Job job);
   }
 
@@ -30,7 +30,7 @@
   private final JobAdoption adoption;
   private final OpenJobAudit audit;
 
-  /** The parameters are the collaborators of the three parts together. */
+  /** Takes the collaborators of all three classes. */
   Submissions(
       EventLoop loop,
       Settings settings,
@@ -55,22 +55,22 @@
     acceptance.submit(spec, answer);
   }
 
-  /** Accepts a job of a team whose owner cannot take it just now; idempotent. */
+  /** Accepts a job of a team whose owner cannot take it at present; idempotent. */
   void storeOnBehalfOfOwner(JobSpec spec, Consumer<ApiResponse> answer) {
     acceptance.storeOnBehalfOfOwner(spec, answer);
   }
 
-  /** Takes up all jobs that are known to be stored for teams of this controller. */
+  /** Adopts all jobs that are known to be stored for teams of this controller. */
   void adoptNewJobs() {
     adoption.adoptNewJobs();
   }
 
-  /** Takes up a job that another controller stored for the team, if the team is owned here. */
+  /** Adopts a job that another controller stored for the team, if the team is owned here. */
   void adoptNewJob(String id, String team) {
     adoption.adoptNewJob(id, team);
   }
 
-  /** Takes up any open job of an owned team that the store holds and that is not known here. */
+  /** Adopts any stored open job of an owned team that is not known here. */
   void audit() {
     audit.run();
   }
--- a/src/main/java/org/sandford/job/TaskProgress.java
+++ b/src/main/java/org/sandford/job/TaskProgress.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Which tasks of one job are done and which wait; the others have a placement, and a done task may
- * still have one. Used on the event loop.
+ * Tracks which tasks of one job are done and which wait; the others have a placement. A done task
+ * may still have one. Used on the event loop.
  */
 final class TaskProgress {
   private final int total;
@@ -15,7 +15,10 @@
   private int waitingCount;
   private long waitingSinceNanos;
 
-  /** All tasks wait, since {@code now} on the steady clock. */
+  /**
+   * Creates the progress of a job whose tasks all wait since {@code now}, the monotonic time in
+   * nanoseconds.
+   */
   TaskProgress(int total, long now) {
     this.total = total;
     this.waitingCount = total;
@@ -23,7 +26,7 @@
     waiting.add(TaskRanges.firstTasks(total));
   }
 
-  /** The done tasks; not to be changed. */
+  /** Returns the done tasks; callers must not change the set. */
   RangeSet<Integer> done() {
     return done;
   }
@@ -48,17 +51,17 @@
     return waitingCount;
   }
 
-  /** When a task began to wait last, on the steady clock in nanoseconds. */
+  /** Returns when a task last began to wait, in nanoseconds of monotonic time. */
   long waitingSinceNanos() {
     return waitingSinceNanos;
   }
 
-  /** The first waiting tasks, at most so many. */
+  /** Returns the first waiting tasks, at most {@code count}. */
   List<Integer> firstWaiting(int count) {
     return TaskRanges.first(waiting, count);
   }
 
-  /** Takes over what the job's record says; called before any task has a placement. */
+  /** Adopts the finished tasks of the job's record; called before any task has a placement. */
   void restore(RangeSet<Integer> finished) {
     done.addAll(finished);
     doneCount = TaskRanges.count(done);
@@ -66,7 +69,7 @@
     waitingCount = total - doneCount;
   }
 
-  /** The task has a placement now. */
+  /** Records that the task no longer waits: it has a placement or is done. */
   void stopWaiting(int task) {
     if (waiting.contains(task)) {
       waiting.remove(TaskRanges.ofTask(task));
@@ -74,7 +77,7 @@
     }
   }
 
-  /** The task lost its placement; unless it is done, it waits again. */
+  /** Records that the task lost its placement; it waits again unless it is done. */
   void startWaiting(int task, long now) {
     if (!isDone(task)) {
       waiting.add(TaskRanges.ofTask(task));
@@ -83,7 +86,7 @@
     }
   }
 
-  /** The task is done; false when that was known. */
+  /** Marks the task as done; returns false if it already was. */
   boolean markDone(int task) {
     if (isDone(task)) {
       return false;
--- a/src/main/java/org/sandford/job/TaskRanges.java
+++ b/src/main/java/org/sandford/job/TaskRanges.java
@@ -12,8 +12,8 @@
 import org.sandford.runtime.Json;
 
 /**
- * Sets of task numbers, held and stored as ranges: the finished tasks of a job array are mostly one
- * range, or few.
+ * Operations on sets of task numbers, held and stored as ranges: the finished tasks of a job array
+ * are mostly one range or a few.
  */
 final class TaskRanges {
   /** Bytes of {@code []}. */
@@ -24,22 +24,22 @@
 
   private TaskRanges() {}
 
-  /** A new empty set. */
+  /** Returns a new empty set. */
   static RangeSet<Integer> empty() {
     return TreeRangeSet.create();
   }
 
-  /** The range of one task. */
+  /** Returns the range of one task. */
   static Range<Integer> ofTask(int task) {
     return Range.closedOpen(task, task + 1);
   }
 
-  /** The range of the tasks from 0 on, {@code count} of them. */
+  /** Returns the range of the first {@code count} tasks, from 0 on. */
   static Range<Integer> firstTasks(int count) {
     return Range.closedOpen(0, count);
   }
 
-  /** How many tasks are in the set. */
+  /** Returns the number of tasks in the set. */
   static int count(RangeSet<Integer> set) {
     int count = 0;
     for (Range<Integer> range : set.asRanges()) {
@@ -57,7 +57,7 @@
     return range.canonical(DiscreteDomain.integers());
   }
 
-  /** The first tasks of the set in ascending order, at most {@code limit}. */
+  /** Returns the first tasks of the set in ascending order, at most {@code limit}. */
   static List<Integer> first(RangeSet<Integer> set, int limit) {
     List<Integer> first = new ArrayList<>();
     for (Range<Integer> range : set.asRanges()) {
@@ -75,9 +75,9 @@
   }
 
   /**
-   * The ranges as pairs of first and last task, within {@code maxBytes} of JSON. What does not fit
-   * is left out, the shortest ranges first: a task that finished but is not in the record is only
-   * run again, since workers keep its result, and it is not cleared from them.
+   * Returns the ranges as pairs of first and last task, within {@code maxBytes} of JSON. What does
+   * not fit is left out, the shortest ranges first. A finished task that is not in the record is
+   * merely run again, since workers keep its result, which is not cleared from them.
    */
   static ArrayNode write(RangeSet<Integer> set, int maxBytes) {
     List<Range<Integer>> ranges = new ArrayList<>();
@@ -97,7 +97,7 @@
     return pairs;
   }
 
-  /** The longest ranges, in ascending order, as far as they fit into the bytes. */
+  /** Returns the longest ranges that fit into {@code maxBytes}, in ascending order. */
   private static List<Range<Integer>> longestWithin(int maxBytes, List<Range<Integer>> ranges) {
     List<Range<Integer>> byLength = new ArrayList<>(ranges);
     byLength.sort(Comparator.comparingInt(TaskRanges::size).reversed());
@@ -114,14 +114,14 @@
     return fitting;
   }
 
-  /** The most bytes that the pair takes, with its brackets and commas. */
+  /** Returns the most bytes that the range's pair takes, with its brackets and commas. */
   private static int maxPairBytes(Range<Integer> tasks) {
     return PAIR_PUNCTUATION_BYTES
         + String.valueOf(tasks.lowerEndpoint()).length()
         + String.valueOf(tasks.upperEndpoint() - 1).length();
   }
 
-  /** Reads what {@link #write} wrote. */
+  /** Reads the ranges that {@link #write} wrote. */
   static RangeSet<Integer> read(JsonNode pairs) {
     RangeSet<Integer> set = empty();
     for (JsonNode pair : pairs) {
--- a/src/main/java/org/sandford/job/Team.java
+++ b/src/main/java/org/sandford/job/Team.java
@@ -10,19 +10,19 @@
 import org.sandford.settings.Settings;
 
 /**
- * A team that this controller owns, under one generation: its jobs, and what they use of its quota.
- * Used on the event loop.
+ * Holds the jobs of a team that this controller owns under one generation, and their use of its
+ * quota. Used on the event loop.
  */
 final class Team {
-  /** The states of an ownership. */
+  /** The states of the ownership. */
   enum Phase {
     /** Its open jobs are being read from the store. */
     LOADING,
-    /** Its jobs are known; where their tasks are is still being found out. */
+    /** Its jobs are known; not all machines have reported which of their tasks they hold. */
     RECOVERING,
-    /** All is known. */
+    /** Its jobs are known and all machines have reported. */
     READY,
-    /** It was handed over; the leader's map will name the next owner. */
+    /** It was handed over; the leader's assignment map will name the next owner. */
     HANDED_OVER;
 
     private boolean canTransitionTo(Phase next) {
@@ -41,23 +41,25 @@
   private Phase phase = Phase.LOADING;
   final Map<String, Job> jobs = new LinkedHashMap<>();
 
-  /** Labels of the controllers that refuse commands of older generations from now on. */
+  /** Labels of the controllers that acknowledged the claim and refuse older generations. */
   final Set<String> claimAcknowledgedBy = new HashSet<>();
 
   private UnreportedMachines unreported = UnreportedMachines.unlisted();
 
   private long attemptCount;
+
+  /** What the placements of its jobs use. */
   private Resources trackedUse = Resources.ZERO;
 
-  /** What of that is used by jobs that a former owner may have started. */
+  /** The part of {@code trackedUse} that jobs use whose tasks a former owner may have started. */
   private Resources inheritedUse = Resources.ZERO;
 
   private Resources untrackedUse = Resources.ZERO;
 
-  /** What tasks of inherited jobs may use that were not found. */
+  /** The most that tasks of inherited jobs without a known placement may use. */
   private Resources unlocatedMax = Resources.ZERO;
 
-  /** What tasks of jobs that were cancelled lately may use. */
+  /** The most that tasks of recently cancelled jobs may use. */
   private Resources cancelledMax = Resources.ZERO;
 
   Team(String name, long generation, Settings.Team limits) {
@@ -70,27 +72,31 @@
     return phase;
   }
 
-  /** The one place where the phase changes. */
+  /** Changes the phase, which nothing else does, and throws if the change is invalid. */
   void transitionTo(Phase next) {
     if (!phase.canTransitionTo(next)) {
-      throw new IllegalStateException("team " + name + " is " + phase + ", not to be " + next);
+      throw new IllegalStateException(
+          "team " + name + " is " + phase + " and cannot become " + next);
     }
     phase = next;
   }
 
-  /** Machines whose owner has not reported all that they hold since it acknowledged the claim. */
+  /**
+   * Returns the machines whose owner has not reported all they hold since acknowledging the claim.
+   */
   UnreportedMachines unreported() {
     return unreported;
   }
 
-  /** These machines have to report before the team is {@link Phase#READY}. */
+  /** Sets the machines that must report before the team becomes {@link Phase#READY}. */
   void expectReports(UnreportedMachines machines) {
     unreported = machines;
   }
 
   /**
-   * Whether the job is opportunistic: an array of the lowest rank that may use spot machines, of a
-   * team without a guarantee. It runs on what others leave, and is the first to be preempted.
+   * Returns whether the job is opportunistic: an array of the lowest rank that may use spot
+   * machines, of a team without a guarantee. It runs on capacity that other jobs leave, and is
+   * preempted first.
    */
   boolean isOpportunistic(JobSpec spec) {
     return spec.shape() == JobSpec.Shape.ARRAY
@@ -99,26 +105,27 @@
         && !limits.hasGuarantee();
   }
 
-  /** Whether it can take and answer calls. */
+  /** Returns whether requests for the team can be handled here. */
   boolean isServed() {
     return phase == Phase.RECOVERING || phase == Phase.READY;
   }
 
   /**
-   * Attempts rise for ever: generations rise with every change of owner and stand above the count.
+   * Returns a number above those of all earlier attempts of the team: its upper bits are the
+   * generation, which grows with every change of owner.
    */
   long nextAttempt() {
     return generation * JobConstants.ATTEMPTS_PER_GENERATION + ++attemptCount;
   }
 
-  /** The generation of the team under which the attempt was started. */
+  /** Returns the generation of the team under which the attempt was started. */
   static long generationOf(long attempt) {
     return attempt / JobConstants.ATTEMPTS_PER_GENERATION;
   }
 
   /**
-   * Counts anew what the tasks of its jobs use, once for a whole planning round: for each job of
-   * the round it would cost a step for each pair of jobs. What is untracked is added after it.
+   * Recounts what the tasks of its jobs use, once per planning round: a recount for each job of the
+   * round would take quadratic time. Untracked use is added afterwards.
    */
   void recountUse() {
     trackedUse = Resources.ZERO;
@@ -136,27 +143,27 @@
     }
   }
 
-  /** Tasks of the team that belong to no known attempt use so much more. */
+  /** Adds what tasks of the team use that belong to no known attempt. */
   void addUntracked(Resources use) {
     untrackedUse = untrackedUse.plus(use);
   }
 
-  /** Tasks of the team's jobs that were cancelled lately may use so much unreported. */
+  /** Sets the most that unreported tasks of recently cancelled jobs may use. */
   void setCancelledBound(Resources max) {
     cancelledMax = max;
   }
 
-  /** A task of the job is placed since the last count. */
+  /** Adds a task of the job that was placed since the last recount. */
   void addTask(Job job) {
     trackedUse = trackedUse.plus(Resources.ofTask(job.spec));
   }
 
-  /** A task of the job is released since the last count. */
+  /** Subtracts a task of the job that was released since the last recount. */
   void removeTask(Job job) {
     trackedUse = trackedUse.minus(Resources.ofTask(job.spec));
   }
 
-  /** CPUs that the team uses, or may use unseen. */
+  /** Returns the CPUs that the team uses, or may use on machines that have not reported. */
   double cpusUsed() {
     double knownInherited = inheritedUse.cpus() + untrackedUse.cpus();
     return trackedUse.cpus()
@@ -164,7 +171,7 @@
         + maxUndetectedUse(limits.cpusMax() - knownInherited, maxOnUnreportedMachines().cpus());
   }
 
-  /** Accelerators that the team uses, or may use unseen. */
+  /** Returns the accelerators that the team uses, or may use on unreported machines. */
   double gpusUsed() {
     double knownInherited = inheritedUse.gpus() + untrackedUse.gpus();
     return trackedUse.gpus()
@@ -172,21 +179,21 @@
         + maxUndetectedUse(limits.gpusMax() - knownInherited, maxOnUnreportedMachines().gpus());
   }
 
-  /** What may be on machines that did not report: no more than they can hold. */
+  /** Returns the most that tasks on unreported machines may use, limited by their capacity. */
   private Resources maxOnUnreportedMachines() {
     return unlocatedMax.plus(cancelledMax).atMost(unreported.capacity());
   }
 
   /**
-   * Until all machines have reported, tasks that the former owner started may be running on those
-   * that have not, of jobs that are open and of jobs that have ended. The former owner enforced the
-   * limit, so together with what was found they use the limit at the most.
+   * Returns the most that tasks of the former owner may use on machines that have not reported; the
+   * tasks may be of open jobs and of ended ones. The former owner enforced the limit, so together
+   * with the tasks already found they use at most the limit.
    */
   private double maxUndetectedUse(double limitLeft, double maxOnUnreported) {
     return phase == Phase.READY ? 0 : Math.max(0, Math.min(limitLeft, maxOnUnreported));
   }
 
-  /** How many more tasks of this size the team's limit allows. */
+  /** Returns how many more tasks of this size the team's limit allows. */
   int tasksWithinLimit(double cpus, double gpus) {
     double epsilon = PlacementConstants.EPSILON;
     double count = Integer.MAX_VALUE;
--- a/src/main/java/org/sandford/job/TeamOwnership.java
+++ b/src/main/java/org/sandford/job/TeamOwnership.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Acquires and relinquishes teams as the assignment map says, and hands them over when the leader
- * asks for that. An acquired team is claimed at every controller: one that acknowledged the claim
- * refuses commands of the team's former owners. Runs on the event loop.
+ * Acquires and relinquishes teams according to the assignment map, and hands them over when the
+ * leader requests it. An acquired team is claimed at every controller: one that has acknowledged
+ * the claim refuses commands of the team's former owners. Runs on the event loop.
  */
 final class TeamOwnership {
   private static final Logger log = LoggerFactory.getLogger(TeamOwnership.class);
@@ -45,7 +45,7 @@
     this.candidates = candidates;
   }
 
-  /** Follows the assignment map; returns the teams that were acquired, whose jobs are not known. */
+  /** Applies the assignment map; returns the acquired teams, whose jobs have yet to be loaded. */
   List<Team> applyMap() {
     Map<String, TeamAssignment> assignments = cluster.teams().of();
     for (Team team : new ArrayList<>(owned.teams().values())) {
@@ -84,12 +84,15 @@
     links.request(label, new ClaimTeam(team.name, team.generation));
   }
 
-  /** The link to a controller came up, over which no claim was sent yet. */
+  /** Sends the claims of all owned teams over a new link to a controller. */
   void linkUp(String peer) {
     owned.teams().values().forEach(team -> requestClaim(peer, team));
   }
 
-  /** Takes the reply to a claim; false when it is refused or of an older ownership. */
+  /**
+   * Records the reply to a claim; returns false if it refuses, or answers an older ownership's
+   * claim.
+   */
   boolean claimReplied(String from, ClaimReply reply) {
     Team team = owned.team(reply.team);
     if (team == null || team.generation != reply.generation || !reply.accepted) {
@@ -115,8 +118,8 @@
   }
 
   /**
-   * The leader wants another controller to own the team: nothing is answered or decided for it from
-   * here on. False when the team is not served here under this generation.
+   * Hands over a team that the leader wants another controller to own: this one answers and decides
+   * nothing more for it. Returns false if the team is not served here under this generation.
    */
   boolean handOver(String name, long generation) {
     Team team = owned.team(name);
--- a/src/main/java/org/sandford/job/TeamRecovery.java
+++ b/src/main/java/org/sandford/job/TeamRecovery.java
@@ -11,9 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds out, after a failover, when all machines have reported what they hold of an acquired team.
- * Until then the former owner's tasks may run anywhere, and its jobs are not planned. Runs on the
- * event loop.
+ * Determines, after a failover, when all machines have reported what they hold of an acquired team.
+ * Until then the former owner's tasks may run anywhere, and inherited jobs are not planned. Runs on
+ * the event loop.
  */
 final class TeamRecovery {
   private static final Logger log = LoggerFactory.getLogger(TeamRecovery.class);
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Checks all machines that have not reported. The first check of a team goes through the whole
-   * assignment map. Machines that enter the map later need no report: they come after the team's
+   * Checks all machines that have not reported. The first check of a team lists all machines of the
+   * assignment map. Machines that enter the map later need no report: they follow the team's
    * assignment, so only owners that acknowledged the claim ever command them.
    */
   void checkAll() {
@@ -69,7 +69,7 @@
     return unreported;
   }
 
-  /** Checks machines that just reported only: after a failover snapshots come by the hundred. */
+  /** Checks only the machines that just reported, as hundreds of snapshots follow a failover. */
   void check(Iterable<MachineSnapshot> snapshots) {
     for (Team team : owned.teams().values()) {
       if (team.phase() == Team.Phase.RECOVERING && team.unreported().isListed()) {
@@ -84,8 +84,8 @@
   }
 
   /**
-   * Whether all that the machine holds, or may yet be made to hold, of the team is known; or it is
-   * gone.
+   * Returns whether all that the machine holds of the team, or may still be commanded to start, is
+   * known; true also for a machine that left the assignment map.
    */
   private boolean hasReported(Team team, String machine) {
     if (!cluster.machines().of().containsKey(machine)) {
--- a/src/main/java/org/sandford/job/TerminalState.java
+++ b/src/main/java/org/sandford/job/TerminalState.java
@@ -13,17 +13,20 @@
     this.wireName = wireName;
   }
 
-  /** The name of the state in records, between controllers and in answers to users. */
+  /** Returns the state's name in records, between controllers and in answers to users. */
   public String wireName() {
     return wireName;
   }
 
-  /** Whether {@code status} in an answer about a job names a terminal state. */
+  /** Returns whether {@code status} in an answer about a job names a terminal state. */
   public static boolean isTerminal(String status) {
     return status.equals(DONE.wireName) || status.equals(CANCELLED.wireName);
   }
 
-  /** The state that a terminal record names; only {@code done} proves that the tasks completed. */
+  /**
+   * Returns the state that a terminal record names; only {@code done} proves that the tasks
+   * completed.
+   */
   public static TerminalState of(String wireName) {
     return wireName.equals(DONE.wireName) ? DONE : CANCELLED;
   }
--- a/src/main/java/org/sandford/job/TerminalStates.java
+++ b/src/main/java/org/sandford/job/TerminalStates.java
@@ -12,8 +12,8 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * Cache of the terminal states of jobs, which never change. An absent entry proves nothing, except
- * for ends that became known within {@link CancellationConstants#TERMINAL_STATE_RETENTION_S}: the
+ * Caches the terminal states of jobs, which never change. A missing entry proves nothing, except
+ * for states that became known within {@link CancellationConstants#TERMINAL_STATE_RETENTION_S}: the
  * bounded cache may evict any entry, and a job that just ended must not look open again.
  *
  * <p>Runs on the event loop.
@@ -22,7 +22,7 @@
   /** The terminal record of a cancelled job of which nothing else is known. */
   public static final JsonNode ABORTED = JobRecordCodec.terminalStateOnly(TerminalState.CANCELLED);
 
-  /** A state that is kept until {@code expiresAt}, in nanoseconds of the loop's clock. */
+  /** A state that is kept until {@code expiresAt}, in nanoseconds of the loop's monotonic clock. */
   private record Retained(TerminalState state, long expiresAt) {}
 
   private final EventLoop loop;
@@ -33,17 +33,17 @@
           .executor(Runnable::run)
           .build();
 
-  /** An empty cache, whose entries age by the clock of {@code loop}. */
+  /** Creates an empty cache whose entries age by the clock of {@code loop}. */
   public TerminalStates(EventLoop loop) {
     this.loop = loop;
   }
 
-  /** Takes a stored terminal record. */
+  /** Adds the state in a stored terminal record. */
   public void put(String job, JsonNode terminalRecord) {
     put(job, JobRecordCodec.terminalState(terminalRecord));
   }
 
-  /** Takes a terminal state that the store is known to hold. */
+  /** Adds a terminal state that the store is known to hold. */
   public void put(String job, TerminalState state) {
     long now = loop.nanos();
     states.put(job, state);
@@ -56,13 +56,13 @@
     }
   }
 
-  /** The terminal state of the job, if it is cached here. */
+  /** Returns the terminal state of the job, if it is cached here. */
   public Optional<TerminalState> get(String job) {
     Retained retained = recent.get(job);
     return Optional.ofNullable(retained != null ? retained.state() : states.getIfPresent(job));
   }
 
-  /** Whether the job is known to have ended. */
+  /** Returns whether the job is known to have ended. */
   public boolean contains(String job) {
     return recent.containsKey(job) || states.getIfPresent(job) != null;
   }
--- a/src/test/java/org/sandford/job/JobTest.java
+++ b/src/test/java/org/sandford/job/JobTest.java
@@ -69,7 +69,7 @@
       TaskPlacement current = job.placementOf(task);
       if (current != null && random.nextBoolean()) {
         job.releasePlacement(current, i);
-        // Released once more, it changes nothing.
+        // A second release changes nothing.
         job.releasePlacement(current, i);
       } else {
         job.recordPlacement(place(job, task, random.nextInt(5)));
--- a/src/test/java/org/sandford/job/ProductionRecordsTest.java
+++ b/src/test/java/org/sandford/job/ProductionRecordsTest.java
@@ -10,8 +10,8 @@
 import org.sandford.runtime.Json;
 
 /**
- * Job records as the version in production writes and reads them: arrays and services stay the same
- * to the letter.
+ * Guards against a change of the record format: the version in production reads and writes the same
+ * records, so those of arrays and services must keep their exact bytes.
  */
 class ProductionRecordsTest {
   private static final String ARRAY_SPEC =
