--- a/src/main/java/org/sandford/job/CancelledJobs.java
+++ b/src/main/java/org/sandford/job/CancelledJobs.java
@@ -21,7 +21,7 @@
    * @param tasks the number of all its tasks; 0 if its record lacks it
    * @param learnedAtNanos when the cancellation became known, in nanoseconds of monotonic time
    */
-  private record Cancelled(String team, int tasks, long learnedAtNanos) {
+  private record CancelledJob(String team, int tasks, long learnedAtNanos) {
     private boolean mayBelongTo(String other) {
       return team.isEmpty() || team.equals(other);
     }
@@ -35,7 +35,7 @@
   private final JobReader jobReader;
   private final Supplier<MonotonicTime> terminalStatesCompleteSince;
   private final long retentionNanos;
-  private final Map<String, Cancelled> jobs = new LinkedHashMap<>();
+  private final Map<String, CancelledJob> jobs = new LinkedHashMap<>();
 
   /**
    * @param terminalStatesCompleteSince the time since which no terminal state was missed here
@@ -56,13 +56,13 @@
   /** Records a cancellation; {@code team} is empty and {@code tasks} is 0 if unknown. */
   void add(String job, String team, int tasks) {
     long now = loop.nanos();
-    Cancelled known = jobs.get(job);
+    CancelledJob known = jobs.get(job);
     if (known == null) {
-      jobs.put(job, new Cancelled(team, tasks, now));
+      jobs.put(job, new CancelledJob(team, tasks, now));
     } else if (known.team.isEmpty()) {
-      jobs.put(job, new Cancelled(team, tasks, known.learnedAtNanos));
+      jobs.put(job, new CancelledJob(team, tasks, known.learnedAtNanos));
     }
-    Iterator<Cancelled> oldest = jobs.values().iterator();
+    Iterator<CancelledJob> oldest = jobs.values().iterator();
     while (oldest.hasNext() && now - oldest.next().learnedAtNanos > retentionNanos) {
       oldest.remove();
     }
@@ -75,7 +75,7 @@
       return Resources.UNBOUNDED;
     }
     Resources bound = Resources.ZERO;
-    for (Map.Entry<String, Cancelled> job : jobs.entrySet()) {
+    for (Map.Entry<String, CancelledJob> job : jobs.entrySet()) {
       if (now - job.getValue().learnedAtNanos <= retentionNanos) {
         bound = bound.plus(maxHeldBy(team, job.getKey(), job.getValue()));
       }
@@ -83,7 +83,7 @@
     return bound;
   }
 
-  private Resources maxHeldBy(String team, String job, Cancelled cancelled) {
+  private Resources maxHeldBy(String team, String job, CancelledJob cancelled) {
     if (!cancelled.mayBelongTo(team)) {
       return Resources.ZERO;
     }
--- a/src/main/java/org/sandford/job/Job.java
+++ b/src/main/java/org/sandford/job/Job.java
@@ -282,8 +282,8 @@
       markDone(task);
       return;
     }
-    for (int each = 0; each < spec.tasks(); each++) {
-      markDone(each);
+    for (int gangTask = 0; gangTask < spec.tasks(); gangTask++) {
+      markDone(gangTask);
     }
   }
 
--- a/src/main/java/org/sandford/job/JobAcceptance.java
+++ b/src/main/java/org/sandford/job/JobAcceptance.java
@@ -100,7 +100,7 @@
   /** Answers for a job that was accepted before and whose state only the store can tell. */
   private void answerRepeatedFromStore(String id, Consumer<ApiResponse> answer) {
     answers.fromStore(
-        id, found -> answer.accept(found.status() == HttpStatus.OK ? found : NOT_STORED));
+        id, response -> answer.accept(response.status() == HttpStatus.OK ? response : NOT_STORED));
   }
 
   private void createRecord(Job job) {
@@ -157,9 +157,9 @@
     if (isBeingStored(job)) {
       jobReader.read(
           job.spec.id(),
-          found -> {
+          result -> {
             if (isBeingStored(job)) {
-              applyReadResult(job, found);
+              applyReadResult(job, result);
             }
           });
     }
@@ -169,17 +169,17 @@
     return owned.isCurrent(job) && job.phase() == Job.Phase.STORING;
   }
 
-  private void applyReadResult(Job job, JobReadResult found) {
-    if (found instanceof JobReadResult.Open open) {
+  private void applyReadResult(Job job, JobReadResult result) {
+    if (result instanceof JobReadResult.Open open) {
       if (isRecordOf(job, open)) {
         markAccepted(job, open.revision(), HttpStatus.OK);
       } else {
         adoptStoredJob(job, open);
       }
-    } else if (found instanceof JobReadResult.Terminal) {
+    } else if (result instanceof JobReadResult.Terminal) {
       owned.remove(job);
       answers.ended(job.spec.id()).ifPresent(ended -> answerSubmissions(job, ended));
-    } else if (found instanceof JobReadResult.Absent) {
+    } else if (result instanceof JobReadResult.Absent) {
       createRecord(job);
     } else {
       answerSubmissions(job, unavailable("the store does not answer"));
--- a/src/main/java/org/sandford/job/JobAdoption.java
+++ b/src/main/java/org/sandford/job/JobAdoption.java
@@ -64,18 +64,18 @@
     }
     jobReader.read(
         id,
-        found -> {
+        result -> {
           if (owned.team(teamName) == team && team.isServed()) {
-            adoptReadResult(id, found);
+            adoptReadResult(id, result);
           }
         });
   }
 
-  private void adoptReadResult(String id, JobReadResult found) {
-    if (found instanceof JobReadResult.Open open) {
+  private void adoptReadResult(String id, JobReadResult result) {
+    if (result instanceof JobReadResult.Open open) {
       adoptIfUnknown(open);
       removeNewJobKey(id);
-    } else if (found instanceof JobReadResult.Terminal) {
+    } else if (result instanceof JobReadResult.Terminal) {
       removeNewJobKey(id);
     } else {
       log.debug("added job not readable job={}", id);
--- a/src/main/java/org/sandford/job/JobAnswers.java
+++ b/src/main/java/org/sandford/job/JobAnswers.java
@@ -21,7 +21,8 @@
  * <p>Runs on the event loop.
  */
 public final class JobAnswers {
-  private static final Provenance REMEMBERED_END = new Provenance.RememberedTerminalState();
+  private static final Provenance REMEMBERED_TERMINAL_STATE =
+      new Provenance.RememberedTerminalState();
 
   private final OwnedJobs owned;
   private final TerminalStates terminalStates;
@@ -38,12 +39,13 @@
     Optional<TerminalState> state = terminalStates.get(id);
     if (state.isPresent()) {
       return Optional.of(
-          ApiResponse.of(HttpStatus.OK, JobStatus.terminal(id, state.get()), REMEMBERED_END));
+          ApiResponse.of(
+              HttpStatus.OK, JobStatus.terminal(id, state.get()), REMEMBERED_TERMINAL_STATE));
     }
     Job job = owned.job(id);
     return job == null || !job.phase().over()
         ? Optional.empty()
-        : Optional.of(ApiResponse.of(HttpStatus.OK, job.status(), REMEMBERED_END));
+        : Optional.of(ApiResponse.of(HttpStatus.OK, job.status(), REMEMBERED_TERMINAL_STATE));
   }
 
   /** Returns the answer from memory; empty if only the store can tell. */
@@ -71,17 +73,17 @@
    * exists. If the store does not answer, a 503 follows within the store's call timeout.
    */
   public void fromStore(String id, Consumer<ApiResponse> answer) {
-    jobReader.read(id, found -> answer.accept(fromReadResult(id, found)));
+    jobReader.read(id, result -> answer.accept(fromReadResult(id, result)));
   }
 
-  private ApiResponse fromReadResult(String id, JobReadResult found) {
-    if (found instanceof JobReadResult.Terminal terminal) {
+  private ApiResponse fromReadResult(String id, JobReadResult result) {
+    if (result instanceof JobReadResult.Terminal terminal) {
       return ApiResponse.of(
           HttpStatus.OK,
           JobStatus.terminal(id, terminal.state()),
           new Provenance.StoreRead(terminal.revision()));
     }
-    if (found instanceof JobReadResult.Open open) {
+    if (result instanceof JobReadResult.Open open) {
       return fromMemory(id)
           .orElseGet(
               () ->
@@ -90,7 +92,7 @@
                       JobStatus.open(open),
                       new Provenance.StoreRead(open.revision())));
     }
-    if (found instanceof JobReadResult.Absent) {
+    if (result instanceof JobReadResult.Absent) {
       // The job may have been accepted during the reads.
       return fromMemory(id)
           .orElseGet(() -> ApiResponse.refuse(HttpStatus.NOT_FOUND, "no job has this id"));
--- a/src/main/java/org/sandford/job/JobRecordCodec.java
+++ b/src/main/java/org/sandford/job/JobRecordCodec.java
@@ -81,7 +81,7 @@
   }
 
   /** Returns the terminal record of a job of which only the state is known. */
-  static ObjectNode terminalStateOnly(TerminalState state) {
+  static ObjectNode stateOnlyTerminalRecord(TerminalState state) {
     return Json.object().put(TERMINAL_STATE, state.wireName());
   }
 
--- a/src/main/java/org/sandford/job/JobRecords.java
+++ b/src/main/java/org/sandford/job/JobRecords.java
@@ -198,22 +198,22 @@
   }
 
   private void readBack(Job job, TransactionResult failedWrite) {
-    jobReader.read(job.spec.id(), found -> applyStoredState(job, found, failedWrite));
+    jobReader.read(job.spec.id(), result -> applyStoredState(job, result, failedWrite));
   }
 
   /** Applies the stored state of the job, which overrides the state in memory. */
-  private void applyStoredState(Job job, JobReadResult found, TransactionResult failedWrite) {
+  private void applyStoredState(Job job, JobReadResult result, TransactionResult failedWrite) {
     job.writing = false;
     if (!owned.isCurrent(job)) {
       return;
     }
-    if (found instanceof JobReadResult.Terminal terminal) {
+    if (result instanceof JobReadResult.Terminal terminal) {
       listener.ended(job, terminal.state());
-    } else if (found instanceof JobReadResult.Open open) {
+    } else if (result instanceof JobReadResult.Open open) {
       job.revision = open.revision();
       TaskRanges.first(open.finishedTasks(), Integer.MAX_VALUE).forEach(job::markDone);
       flush(job);
-    } else if (found instanceof JobReadResult.Absent) {
+    } else if (result instanceof JobReadResult.Absent) {
       log.error("job record missing from store job={}", job.spec.id());
     } else {
       handleFailedWrite(job, failedWrite);
--- a/src/main/java/org/sandford/job/TerminalStates.java
+++ b/src/main/java/org/sandford/job/TerminalStates.java
@@ -20,7 +20,8 @@
  */
 public final class TerminalStates {
   /** The terminal record of a cancelled job of which nothing else is known. */
-  public static final JsonNode ABORTED = JobRecordCodec.terminalStateOnly(TerminalState.CANCELLED);
+  public static final JsonNode ABORTED =
+      JobRecordCodec.stateOnlyTerminalRecord(TerminalState.CANCELLED);
 
   /** A state that is kept until {@code expiresAt}, in nanoseconds of the loop's monotonic clock. */
   private record Retained(TerminalState state, long expiresAt) {}
