--- a/src/main/java/org/sandford/job/Job.java
+++ b/src/main/java/org/sandford/job/Job.java
@@ -38,7 +38,10 @@
       return this == DONE || this == ABORTED;
     }
 
-    /** Allows an end from any other phase, since other controllers write terminal states too. */
+    /**
+     * Allows a terminal phase after any non-terminal one, since other controllers write terminal
+     * states too.
+     */
     private boolean canTransitionTo(Phase next) {
       return switch (next) {
         case STORING -> false;
@@ -135,7 +138,7 @@
     return phase;
   }
 
-  /** Changes the phase, which nothing else does, and throws if the change is invalid. */
+  /** Changes the phase, as the only place that does; throws if the change is not allowed. */
   void transitionTo(Phase next) {
     if (!phase.canTransitionTo(next)) {
       throw new IllegalStateException(spec.id() + " is " + phase + " and cannot become " + next);
--- a/src/main/java/org/sandford/job/JobAdoption.java
+++ b/src/main/java/org/sandford/job/JobAdoption.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Adopts open jobs of owned teams that another controller stored, so that they are not known here.
- * A key in the store announces each such job until it is adopted.
+ * Adopts open jobs of owned teams that another controller stored and that are not known here. A key
+ * in the store announces each such job until it is adopted.
  *
  * <p>Has no state of its own; runs on the event loop.
  */
--- a/src/main/java/org/sandford/job/JobRecords.java
+++ b/src/main/java/org/sandford/job/JobRecords.java
@@ -22,7 +22,7 @@
 
 /**
  * Keeps the stored records of owned jobs up to date: the finished tasks of an open job, and its
- * terminal record. A job has at most one write in flight. After a write with an unknown outcome,
+ * terminal record. A job has one write pending at a time. After a write with an unknown outcome,
  * the record is read before the next write.
  *
  * <p>Runs on the event loop.
@@ -63,7 +63,7 @@
     this.listener = listener;
   }
 
-  /** Writes what the job's record lacks, unless a write is in flight. */
+  /** Writes what the job's record lacks, unless a write is pending. */
   void flush(Job job) {
     if (isEnding(job)) {
       withdrawProgressWrite(job);
--- a/src/main/java/org/sandford/job/Team.java
+++ b/src/main/java/org/sandford/job/Team.java
@@ -51,7 +51,7 @@
   /** What the placements of its jobs use. */
   private Resources trackedUse = Resources.ZERO;
 
-  /** The part of {@code trackedUse} that jobs use whose tasks a former owner may have started. */
+  /** The part of {@code trackedUse} by jobs that a former owner may have started. */
   private Resources inheritedUse = Resources.ZERO;
 
   private Resources untrackedUse = Resources.ZERO;
@@ -72,7 +72,7 @@
     return phase;
   }
 
-  /** Changes the phase, which nothing else does, and throws if the change is invalid. */
+  /** Changes the phase, as the only place that does; throws if the change is not allowed. */
   void transitionTo(Phase next) {
     if (!phase.canTransitionTo(next)) {
       throw new IllegalStateException(
