--- a/src/main/java/org/sandford/job/CancelledJobs.java
+++ b/src/main/java/org/sandford/job/CancelledJobs.java
@@ -9,19 +9,19 @@
 import org.sandford.runtime.MonotonicTime;
 
 /**
- * The jobs that were cancelled lately. Until {@code cancel_s} after its cancellation a job's tasks
- * may be on machines, and a new owner of its team does not find the job among the open ones. Used
+ * Tracks recently cancelled jobs. For {@code cancel_s} after a job's cancellation its tasks may
+ * still be on machines, and a new owner of its team does not find the job among the open ones. Used
  * on the event loop.
  */
 final class CancelledJobs {
   /**
    * A cancelled job.
    *
-   * @param team its team, empty in a record that lacks it
-   * @param tasks the number of all its tasks, 0 in a record that lacks it
-   * @param at when that became known, on the steady clock in nanoseconds
+   * @param team its team; empty if its record lacks it
+   * @param tasks the number of all its tasks; 0 if its record lacks it
+   * @param learnedAtNanos when the cancellation became known, in nanoseconds of monotonic time
    */
-  private record Cancelled(String team, int tasks, long at) {
+  private record CancelledJob(String team, int tasks, long learnedAtNanos) {
     private boolean mayBelongTo(String other) {
       return team.isEmpty() || team.equals(other);
     }
@@ -33,59 +33,62 @@
 
   private final EventLoop loop;
   private final JobReader jobReader;
-  private final Supplier<MonotonicTime> completeSince;
+  private final Supplier<MonotonicTime> terminalStatesCompleteSince;
   private final long retentionNanos;
-  private final Map<String, Cancelled> jobs = new LinkedHashMap<>();
+  private final Map<String, CancelledJob> jobs = new LinkedHashMap<>();
 
   /**
-   * @param completeSince the moment since which no end of a job was missed here
-   * @param cancelS seconds until a cancelled job's tasks are surely gone
+   * @param terminalStatesCompleteSince the time since which no terminal state was missed here
+   * @param cancelS seconds after which a cancelled job's tasks are certainly gone
    */
   CancelledJobs(
-      EventLoop loop, JobReader jobReader, Supplier<MonotonicTime> completeSince, double cancelS) {
+      EventLoop loop,
+      JobReader jobReader,
+      Supplier<MonotonicTime> terminalStatesCompleteSince,
+      double cancelS) {
     this.loop = loop;
     this.jobReader = jobReader;
-    this.completeSince = completeSince;
+    this.terminalStatesCompleteSince = terminalStatesCompleteSince;
     double retentionS = cancelS * (1 + TimeConstants.CLOCK_DRIFT) + TimeConstants.KILL_MARGIN_S;
     this.retentionNanos = (long) (retentionS * 1e9);
   }
 
-  /** A cancellation became known; {@code team} is empty and {@code tasks} 0 if they are unknown. */
+  /** Records a cancellation; {@code team} is empty and {@code tasks} is 0 if unknown. */
   void add(String job, String team, int tasks) {
     long now = loop.nanos();
-    Cancelled known = jobs.get(job);
+    CancelledJob known = jobs.get(job);
     if (known == null) {
-      jobs.put(job, new Cancelled(team, tasks, now));
+      jobs.put(job, new CancelledJob(team, tasks, now));
     } else if (known.team.isEmpty()) {
-      jobs.put(job, new Cancelled(team, tasks, known.at));
+      jobs.put(job, new CancelledJob(team, tasks, known.learnedAtNanos));
     }
-    Iterator<Cancelled> oldest = jobs.values().iterator();
-    while (oldest.hasNext() && now - oldest.next().at > retentionNanos) {
+    Iterator<CancelledJob> oldest = jobs.values().iterator();
+    while (oldest.hasNext() && now - oldest.next().learnedAtNanos > retentionNanos) {
       oldest.remove();
     }
   }
 
-  /** The most that tasks of the team's cancelled jobs may use on machines that did not report. */
+  /** Returns the most that tasks of the team's cancelled jobs may use on unreported machines. */
   Resources maxHeldBy(String team) {
     long now = loop.nanos();
-    if (!completeSince.get().isOlderThan(retentionNanos, now)) {
+    if (!terminalStatesCompleteSince.get().isOlderThan(retentionNanos, now)) {
       return Resources.UNBOUNDED;
     }
     Resources bound = Resources.ZERO;
-    for (Map.Entry<String, Cancelled> job : jobs.entrySet()) {
-      if (now - job.getValue().at <= retentionNanos) {
+    for (Map.Entry<String, CancelledJob> job : jobs.entrySet()) {
+      if (now - job.getValue().learnedAtNanos <= retentionNanos) {
         bound = bound.plus(maxHeldBy(team, job.getKey(), job.getValue()));
       }
     }
     return bound;
   }
 
-  private Resources maxHeldBy(String team, String job, Cancelled cancelled) {
+  private Resources maxHeldBy(String team, String job, CancelledJob cancelled) {
     if (!cancelled.mayBelongTo(team)) {
       return Resources.ZERO;
     }
-    Resources each = jobReader.sizeOf(job);
-    boolean isBounded = each != null && cancelled.hasTaskCount();
-    return isBounded ? each.times(cancelled.tasks) : Resources.UNBOUNDED;
+    Resources taskSize = jobReader.taskSizeOf(job);
+    boolean isBounded = taskSize != null && cancelled.hasTaskCount();
+    return isBounded ? taskSize.times(cancelled.tasks) : Resources.UNBOUNDED;
   }
 }
--- a/src/main/java/org/sandford/job/JobAcceptance.java
+++ b/src/main/java/org/sandford/job/JobAcceptance.java
@@ -17,12 +17,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts new jobs. A job is accepted once its record is stored; a write whose outcome is not known
- * is read back before anything else is written.
+ * Accepts new jobs. A job is accepted once its record is stored. After a write with an unknown
+ * outcome, the record is read before anything else is written.
  *
  * <p>Submissions are idempotent by job id: the record is created only if the id was never used, and
- * a repeated submission gets the current state of the job that was accepted under the id first,
- * also if it names another body.
+ * a repeated submission gets the current state of the job that was first accepted under the id,
+ * even if its body differs.
  *
  * <p>Runs on the event loop.
  */
@@ -42,7 +42,7 @@
   private final JobAnswers answers;
   private final JobRecordStore recordStore;
   private final JobAdoption adoption;
-  private final Submissions.Changes changes;
+  private final Submissions.Changes listener;
 
   JobAcceptance(
       EventLoop loop,
@@ -51,14 +51,14 @@
       JobAnswers answers,
       JobRecordStore recordStore,
       JobAdoption adoption,
-      Submissions.Changes changes) {
+      Submissions.Changes listener) {
     this.loop = loop;
     this.owned = owned;
     this.jobReader = jobReader;
     this.answers = answers;
     this.recordStore = recordStore;
     this.adoption = adoption;
-    this.changes = changes;
+    this.listener = listener;
   }
 
   /** Accepts a job of a team that this controller owns. */
@@ -75,32 +75,32 @@
     }
     Job existing = owned.job(spec.id());
     if (existing != null) {
-      answerRepeated(existing, answer);
+      answerRepeatedSubmission(existing, answer);
       return;
     }
-    if (recordStore.overloaded()) {
+    if (recordStore.isOverloaded()) {
       answer.accept(OVERLOADED);
       return;
     }
     Team team = owned.team(spec.team());
     Job job = new Job(spec, loop.wallMillis(), false, Job.Phase.STORING, loop.nanos());
-    job.submitters.add(answer);
-    owned.adopt(team, job);
+    job.submissionCallbacks.add(answer);
+    owned.add(team, job);
     createRecord(job);
   }
 
-  private void answerRepeated(Job existing, Consumer<ApiResponse> answer) {
+  private void answerRepeatedSubmission(Job existing, Consumer<ApiResponse> answer) {
     if (existing.phase() == Job.Phase.STORING) {
-      existing.submitters.add(answer);
+      existing.submissionCallbacks.add(answer);
     } else {
       answerRepeatedFromStore(existing.spec.id(), answer);
     }
   }
 
-  /** A job that was accepted before, and of which only the store can tell how far it is. */
+  /** Answers for a job that was accepted before and whose state only the store can tell. */
   private void answerRepeatedFromStore(String id, Consumer<ApiResponse> answer) {
     answers.fromStore(
-        id, found -> answer.accept(found.status() == HttpStatus.OK ? found : NOT_STORED));
+        id, response -> answer.accept(response.status() == HttpStatus.OK ? response : NOT_STORED));
   }
 
   private void createRecord(Job job) {
@@ -108,116 +108,116 @@
   }
 
   private void recordCreated(Job job, TransactionResult result) {
-    if (!owned.holds(job)) {
+    if (!owned.isCurrent(job)) {
       return;
     }
     switch (result.outcome()) {
-      case APPLIED -> accepted(job, result.revision(), HttpStatus.CREATED);
-      case REFUSED -> giveUp(job, unavailable("the job could not be stored"));
+      case APPLIED -> markAccepted(job, result.revision(), HttpStatus.CREATED);
+      case REFUSED -> rejectSubmission(job, unavailable("the job could not be stored"));
       case CONFLICT -> {
         if (result.failed().contains(Cluster.TEAMS_KEY)) {
-          giveUp(job, unavailable("the teams' owners change"));
+          rejectSubmission(job, unavailable("the teams' owners change"));
         } else {
           readBack(job);
         }
       }
       case UNKNOWN -> {
-        answerSubmitters(job, unavailable("it is not known whether the job was stored"));
+        answerSubmissions(job, unavailable("it is not known whether the job was stored"));
         loop.after(StoreConstants.STORE_RETRY_MS, () -> readBack(job));
       }
     }
   }
 
-  /** The job was surely not stored. */
-  private void giveUp(Job job, ApiResponse refusal) {
-    owned.discard(job);
-    answerSubmitters(job, refusal);
+  /** Refuses a job that was certainly not stored. */
+  private void rejectSubmission(Job job, ApiResponse refusal) {
+    owned.remove(job);
+    answerSubmissions(job, refusal);
   }
 
-  private void accepted(Job job, long revision, int status) {
+  private void markAccepted(Job job, long revision, int status) {
     job.revision = revision;
     job.transitionTo(Job.Phase.OPEN);
     log.debug("job accepted job={}", job.spec.id());
-    answerSubmitters(job, acceptedResponse(job.spec.id(), status, revision));
-    changes.jobsChanged();
+    answerSubmissions(job, acceptedResponse(job.spec.id(), status, revision));
+    listener.jobsChanged();
   }
 
   private static ApiResponse acceptedResponse(String id, int status, long revision) {
     return ApiResponse.of(status, JobStatus.accepted(id), new Provenance.StoreWrite(revision));
   }
 
-  private static void answerSubmitters(Job job, ApiResponse answer) {
-    List<Consumer<ApiResponse>> waiting = new ArrayList<>(job.submitters);
-    job.submitters.clear();
-    waiting.forEach(submitter -> submitter.accept(answer));
+  private static void answerSubmissions(Job job, ApiResponse answer) {
+    List<Consumer<ApiResponse>> waiting = new ArrayList<>(job.submissionCallbacks);
+    job.submissionCallbacks.clear();
+    waiting.forEach(callback -> callback.accept(answer));
   }
 
-  /** The store holds a job of this id, or may: it is read before anything else is written. */
+  /** Reads the record before anything else is written: the store may hold a job of this id. */
   private void readBack(Job job) {
     if (isBeingStored(job)) {
       jobReader.read(
           job.spec.id(),
-          found -> {
+          result -> {
             if (isBeingStored(job)) {
-              reconcile(job, found);
+              applyReadResult(job, result);
             }
           });
     }
   }
 
   private boolean isBeingStored(Job job) {
-    return owned.holds(job) && job.phase() == Job.Phase.STORING;
+    return owned.isCurrent(job) && job.phase() == Job.Phase.STORING;
   }
 
-  private void reconcile(Job job, JobReadResult found) {
-    if (found instanceof JobReadResult.Open open) {
+  private void applyReadResult(Job job, JobReadResult result) {
+    if (result instanceof JobReadResult.Open open) {
       if (isRecordOf(job, open)) {
-        accepted(job, open.revision(), HttpStatus.OK);
+        markAccepted(job, open.revision(), HttpStatus.OK);
       } else {
-        replaceByStored(job, open);
+        adoptStoredJob(job, open);
       }
-    } else if (found instanceof JobReadResult.Terminal) {
-      owned.discard(job);
-      answers.ended(job.spec.id()).ifPresent(ended -> answerSubmitters(job, ended));
-    } else if (found instanceof JobReadResult.Absent) {
+    } else if (result instanceof JobReadResult.Terminal) {
+      owned.remove(job);
+      answers.ended(job.spec.id()).ifPresent(ended -> answerSubmissions(job, ended));
+    } else if (result instanceof JobReadResult.Absent) {
       createRecord(job);
     } else {
-      answerSubmitters(job, unavailable("the store does not answer"));
+      answerSubmissions(job, unavailable("the store does not answer"));
       loop.after(StoreConstants.STORE_RETRY_MS, () -> readBack(job));
     }
   }
 
   /**
-   * Whether the write of this controller created the record. Tasks may have been started under
-   * another controller's record, so that counts as inherited.
+   * Returns whether this controller's write created the record. A job that another controller
+   * recorded counts as inherited, since its tasks may have been started.
    */
   private static boolean isRecordOf(Job job, JobReadResult.Open open) {
     return open.acceptedAt() == job.acceptedAt && open.spec().equals(job.spec);
   }
 
-  /** The id was used before, perhaps with another body: that first one is the job. */
-  private void replaceByStored(Job job, JobReadResult.Open open) {
-    // Some of its submitters came after this read had begun, so it cannot answer them.
-    List<Consumer<ApiResponse>> submitters = new ArrayList<>(job.submitters);
-    owned.discard(job);
+  /** Replaces the job by the stored one that first used its id, perhaps with another body. */
+  private void adoptStoredJob(Job job, JobReadResult.Open open) {
+    // Some submissions came after this read began, so the read cannot answer them.
+    List<Consumer<ApiResponse>> submissionCallbacks = new ArrayList<>(job.submissionCallbacks);
+    owned.remove(job);
     adoption.adoptIfUnknown(open);
-    submitters.forEach(submitter -> answerRepeatedFromStore(job.spec.id(), submitter));
+    submissionCallbacks.forEach(callback -> answerRepeatedFromStore(job.spec.id(), callback));
   }
 
   /**
-   * Stores a job whose team's owner cannot take it just now: the record alone makes it accepted.
-   * Only the owner ever starts its tasks; a key that all controllers watch tells it of the job.
+   * Stores a job whose team's owner cannot take it at present; the record alone makes it accepted.
+   * Only the owner ever starts its tasks; a key that all controllers watch announces the job to it.
    */
   void storeOnBehalfOfOwner(JobSpec spec, Consumer<ApiResponse> answer) {
-    if (recordStore.overloaded()) {
+    if (recordStore.isOverloaded()) {
       answer.accept(OVERLOADED);
       return;
     }
     recordStore.createForOwner(
-        spec, loop.wallMillis(), result -> storedForOwner(spec, result, answer));
+        spec, loop.wallMillis(), result -> recordCreatedForOwner(spec, result, answer));
   }
 
-  private void storedForOwner(
+  private void recordCreatedForOwner(
       JobSpec spec, TransactionResult result, Consumer<ApiResponse> answer) {
     switch (result.outcome()) {
       case APPLIED -> {
--- a/src/main/java/org/sandford/job/JobAdoption.java
+++ b/src/main/java/org/sandford/job/JobAdoption.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes up open jobs of owned teams that the store holds and that are not known here, because
- * another controller stored them. A key in the store tells of each such job until it is taken up.
+ * Adopts open jobs of owned teams that another controller stored and that are not known here. A key
+ * in the store announces each such job until it is adopted.
  *
  * <p>Has no state of its own; runs on the event loop.
  */
@@ -22,7 +22,7 @@
   private final TerminalStates terminalStates;
   private final JobReader jobReader;
   private final JobRecordStore recordStore;
-  private final Submissions.Changes changes;
+  private final Submissions.Changes listener;
 
   JobAdoption(
       EventLoop loop,
@@ -31,22 +31,22 @@
       TerminalStates terminalStates,
       JobReader jobReader,
       JobRecordStore recordStore,
-      Submissions.Changes changes) {
+      Submissions.Changes listener) {
     this.loop = loop;
     this.cluster = cluster;
     this.owned = owned;
     this.terminalStates = terminalStates;
     this.jobReader = jobReader;
     this.recordStore = recordStore;
-    this.changes = changes;
+    this.listener = listener;
   }
 
-  /** Takes up all jobs that keys in the store tell of. */
+  /** Adopts all jobs that keys in the store announce. */
   void adoptNewJobs() {
-    new TreeMap<>(cluster.newJobs()).forEach((id, added) -> adoptNewJob(id, added.team()));
+    new TreeMap<>(cluster.newJobs()).forEach((id, newJob) -> adoptNewJob(id, newJob.team()));
   }
 
-  /** Takes up a job that another controller stored, and removes the key that told of it. */
+  /** Adopts a job that another controller stored, and removes the key that announced it. */
   void adoptNewJob(String id, String teamName) {
     Team team = owned.team(teamName);
     if (team == null || !team.isServed()) {
@@ -54,52 +54,52 @@
     }
     Job known = owned.job(id);
     if (known != null && known.phase() == Job.Phase.STORING) {
-      // The write of this controller may yet fail, and then the job is forgotten here: the key
-      // stays for the next check.
+      // If this controller's own write fails, the job is removed here, so the key stays for the
+      // next check.
       return;
     }
     if (known != null || terminalStates.contains(id)) {
-      removeAddedKey(id);
+      removeNewJobKey(id);
       return;
     }
     jobReader.read(
         id,
-        found -> {
+        result -> {
           if (owned.team(teamName) == team && team.isServed()) {
-            takeRead(id, found);
+            adoptReadResult(id, result);
           }
         });
   }
 
-  private void takeRead(String id, JobReadResult found) {
-    if (found instanceof JobReadResult.Open open) {
+  private void adoptReadResult(String id, JobReadResult result) {
+    if (result instanceof JobReadResult.Open open) {
       adoptIfUnknown(open);
-      removeAddedKey(id);
-    } else if (found instanceof JobReadResult.Terminal) {
-      removeAddedKey(id);
+      removeNewJobKey(id);
+    } else if (result instanceof JobReadResult.Terminal) {
+      removeNewJobKey(id);
     } else {
       log.debug("added job not readable job={}", id);
     }
   }
 
-  /** Takes up a stored job, unless its team is not owned here or the job is known already. */
+  /** Adopts a stored job, unless its team is not owned here or the job is already known. */
   void adoptIfUnknown(JobReadResult.Open stored) {
     JobSpec spec = stored.spec();
     Team team = owned.team(spec.team());
-    // The read may be older than an end that became known meanwhile.
+    // The read may be older than a terminal state that became known meanwhile.
     boolean ended = terminalStates.contains(spec.id());
     if (team == null || !team.isServed() || owned.knows(spec.id()) || ended) {
       return;
     }
     Job job = Job.inherited(stored, loop.nanos());
-    owned.adopt(team, job);
-    changes.jobFound(job);
+    owned.add(team, job);
+    listener.jobFound(job);
   }
 
-  private void removeAddedKey(String id) {
-    Cluster.NewJob added = cluster.newJobs().get(id);
-    if (added != null) {
-      recordStore.removeAddedKey(id, added.revision());
+  private void removeNewJobKey(String id) {
+    Cluster.NewJob newJob = cluster.newJobs().get(id);
+    if (newJob != null) {
+      recordStore.removeNewJobKey(id, newJob.revision());
     }
   }
 }
--- a/src/main/java/org/sandford/job/JobTermination.java
+++ b/src/main/java/org/sandford/job/JobTermination.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What follows once a job's terminal state is stored: it is answered, what is left of the job on
- * machines is stopped, and the job counts against its team's quota until that is gone. Runs on the
+ * Completes jobs whose terminal state is stored: answers their users and stops their remaining
+ * tasks. A job counts against its team's quota until its tasks are off their machines. Runs on the
  * event loop.
  */
 final class JobTermination {
@@ -39,8 +39,8 @@
   }
 
   /**
-   * The job's terminal state is stored: it may be answered, and tasks that are left on machines
-   * have to go.
+   * Ends a job whose terminal state is stored: answers its cancellations, and stops tasks that are
+   * left on machines.
    */
   void ended(Job job, TerminalState state) {
     job.transitionTo(state == TerminalState.DONE ? Job.Phase.DONE : Job.Phase.ABORTED);
@@ -49,36 +49,36 @@
       cancelled.add(job.spec.id(), job.spec.team(), job.spec.tasks());
     }
     terminalStates.put(job.spec.id(), state);
-    answers.ended(job.spec.id()).ifPresent(answer -> JobRecords.answerAborters(job, answer));
-    stopAll(job);
-    job.clears.forEach(
+    answers.ended(job.spec.id()).ifPresent(answer -> JobRecords.answerCancellations(job, answer));
+    stopAllTasks(job);
+    job.exitsToAcknowledge.forEach(
         exit -> commands.acknowledgeExit(job, exit.machine(), exit.task(), exit.attempt()));
     if (job.placementCount() == 0) {
-      owned.discard(job);
+      owned.remove(job);
     } else {
-      awaitRelease(job);
+      stopUntilReleased(job);
     }
     timer.requestRound();
   }
 
-  /** Repeats the stops until every task is surely off its machine. */
-  private void awaitRelease(Job job) {
-    if (job.placementCount() == 0 || !owned.holds(job)) {
-      owned.discard(job);
+  /** Repeats the stops until every task is known to be off its machine. */
+  private void stopUntilReleased(Job job) {
+    if (job.placementCount() == 0 || !owned.isCurrent(job)) {
+      owned.remove(job);
       timer.requestRound();
       return;
     }
     loop.after(
         JobConstants.PLAN_IDLE_MS,
         () -> {
-          if (owned.holds(job)) {
-            stopAll(job);
-            awaitRelease(job);
+          if (owned.isCurrent(job)) {
+            stopAllTasks(job);
+            stopUntilReleased(job);
           }
         });
   }
 
-  private void stopAll(Job job) {
+  private void stopAllTasks(Job job) {
     job.placements().forEach(placement -> commands.stop(placement, 0));
   }
 }
--- a/src/main/java/org/sandford/job/OpenJobLoader.java
+++ b/src/main/java/org/sandford/job/OpenJobLoader.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the open jobs of teams that were just acquired from the store. Runs on the event loop. */
+/** Reads the open jobs of newly acquired teams from the store. Runs on the event loop. */
 final class OpenJobLoader {
   private static final Logger log = LoggerFactory.getLogger(OpenJobLoader.class);
 
@@ -30,40 +30,40 @@
   }
 
   /**
-   * Loads the teams' jobs. A team that is acquired while a listing is under way needs one of its
-   * own: that one may show jobs that the former owner ended since, and lack jobs that it accepted
-   * and started.
+   * Loads the teams' jobs. A team that is acquired during a listing needs a new one: the earlier
+   * listing may show jobs that the former owner has ended since, and lack jobs that it accepted and
+   * started.
    *
-   * @param whenLoaded gets the ids of the jobs that became known
+   * @param whenLoaded gets the ids of the adopted jobs
    */
   void load(List<Team> acquired, Consumer<Set<String>> whenLoaded) {
     store.openJobs(
-        open -> {
-          Set<String> adopted = new HashSet<>();
+        openJobs -> {
+          Set<String> adoptedIds = new HashSet<>();
           for (Team team : acquired) {
             if (owned.team(team.name) == team && team.phase() == Team.Phase.LOADING) {
-              adoptJobs(team, open, adopted);
+              adoptJobs(team, openJobs, adoptedIds);
               team.transitionTo(Team.Phase.RECOVERING);
               log.info("open jobs loaded team={} jobs={}", team.name, team.jobs.size());
             }
           }
-          whenLoaded.accept(adopted);
+          whenLoaded.accept(adoptedIds);
         });
   }
 
-  private void adoptJobs(Team team, Map<String, Entry> open, Set<String> adopted) {
-    open.forEach(
+  private void adoptJobs(Team team, Map<String, Entry> openJobs, Set<String> adoptedIds) {
+    openJobs.forEach(
         (id, entry) -> {
           JobSpec spec = OpenJobReader.spec(id, entry.value());
-          // The listing may be older than an end that became known meanwhile.
+          // The listing may be older than a terminal state that became known meanwhile.
           if (spec.team().equals(team.name) && !owned.knows(id) && !terminalStates.contains(id)) {
-            owned.adopt(team, inherited(spec, entry));
-            adopted.add(id);
+            owned.add(team, inheritedJob(spec, entry));
+            adoptedIds.add(id);
           }
         });
   }
 
-  private Job inherited(JobSpec spec, Entry entry) {
+  private Job inheritedJob(JobSpec spec, Entry entry) {
     return Job.inherited(JobRecordCodec.openJob(spec, entry), loop.nanos());
   }
 }
