--- a/src/main/java/org/sandford/audit/AuditLog.java
+++ b/src/main/java/org/sandford/audit/AuditLog.java
@@ -33,14 +33,14 @@
    * @param machineGeneration the machine's generation in the assignment map
    */
   public record Authority(String session, long token, long machineGeneration) {
-    private String text() {
+    private String logFields() {
       return "session=" + session + " token=" + token + " machine_generation=" + machineGeneration;
     }
   }
 
   private final Map<String, Long> counts = new TreeMap<>();
 
-  private void count(String event) {
+  private void increment(String event) {
     counts.merge(event, 1L, Long::sum);
   }
 
@@ -48,20 +48,20 @@
   public String counters() {
     StringBuilder text = new StringBuilder();
     counts.forEach(
-        (event, number) ->
-            text.append(text.isEmpty() ? "" : " ").append(event).append('=').append(number));
+        (event, count) ->
+            text.append(text.isEmpty() ? "" : " ").append(event).append('=').append(count));
     return text.toString();
   }
 
   /** Another incarnation leads now, or none ({@code leader} is empty). */
   public void leaderChanged(String leader, long revision) {
-    count("leaders");
+    increment("leaders");
     log.info("leader id={} revision={}", leader.isEmpty() ? "none" : leader, revision);
   }
 
   /** This controller owns the team from now on. */
   public void teamAcquired(String team, long generation, String session, long mapRevision) {
-    count("teams_gained");
+    increment("teams_gained");
     log.info(
         "own team={} generation={} session={} map_revision={}",
         team,
@@ -71,14 +71,14 @@
   }
 
   /** This controller no longer owns the team. */
-  public void teamRelinquished(String team, long generation, String why) {
-    count("teams_lost");
-    log.info("disown team={} generation={} why={}", team, generation, why);
+  public void teamRelinquished(String team, long generation, String reason) {
+    increment("teams_lost");
+    log.info("disown team={} generation={} why={}", team, generation, reason);
   }
 
   /** A job's terminal state became known here. */
   public void terminalStateLearned(String job, String state, LearnedBy via, long revision) {
-    count(
+    increment(
         switch (via) {
           case WATCH -> "ends_by_watch";
           case READ -> "ends_by_read";
@@ -87,15 +87,15 @@
     log.debug("end job={} state={} via={} revision={}", job, state, via, revision);
   }
 
-  /** The open jobs were listed; {@code epoch} is the store's revision at the first page. */
-  public void openJobsListed(int jobs, long epoch, double tookMs) {
-    count("listings");
-    log.debug("list open_jobs={} epoch={} took_ms={}", jobs, epoch, tookMs);
+  /** The open jobs were listed; {@code revision} is the store's revision at the first page. */
+  public void openJobsListed(int jobs, long revision, double durationMs) {
+    increment("listings");
+    log.debug("list open_jobs={} epoch={} took_ms={}", jobs, revision, durationMs);
   }
 
   /** A job's terminal state is sent to the store. */
   public void terminalStateSent(String job, String state, long recordRevision, long teamsRevision) {
-    count("ends_written");
+    increment("ends_written");
     log.debug(
         "write_end job={} state={} record_revision={} teams_revision={}",
         job,
@@ -105,8 +105,8 @@
   }
 
   /** A user is answered. */
-  public void answered(String verb, String job, int status, String state, Provenance basis) {
-    count("answers_" + basis.kind());
+  public void answered(String verb, String job, int status, String state, Provenance provenance) {
+    increment("answers_" + provenance.kind());
     if (log.isDebugEnabled()) {
       log.debug(
           "answer verb={} job={} status={} state={} basis={} {}",
@@ -114,15 +114,15 @@
           job,
           status,
           state.isEmpty() ? "none" : state,
-          basis.kind(),
-          basis.detail());
+          provenance.kind(),
+          provenance.logFields());
     }
   }
 
   /** A team's owner requests a start from a machine's owner. */
   public void startRequested(
       String job, int task, long attempt, String machine, long teamGeneration, String session) {
-    count("starts_asked");
+    increment("starts_asked");
     log.debug(
         "ask_start job={} task={} attempt={} machine={} team_generation={} session={}",
         job,
@@ -134,19 +134,20 @@
   }
 
   /** A machine's owner accepts a start. */
-  public void startAccepted(String job, int task, long attempt, String machine, Authority right) {
-    count("starts_taken");
-    ordered("take_start", job, task, attempt, machine, right);
+  public void startAccepted(
+      String job, int task, long attempt, String machine, Authority authority) {
+    increment("starts_taken");
+    logCommand("take_start", job, task, attempt, machine, authority);
   }
 
   /** A machine's owner stops a task. */
-  public void stopped(String job, int task, long attempt, String machine, Authority right) {
-    count("stops");
-    ordered("stop", job, task, attempt, machine, right);
+  public void stopped(String job, int task, long attempt, String machine, Authority authority) {
+    increment("stops");
+    logCommand("stop", job, task, attempt, machine, authority);
   }
 
-  private static void ordered(
-      String event, String job, int task, long attempt, String machine, Authority right) {
+  private static void logCommand(
+      String event, String job, int task, long attempt, String machine, Authority authority) {
     if (log.isDebugEnabled()) {
       log.debug(
           "{} job={} task={} attempt={} machine={} {}",
@@ -155,7 +156,7 @@
           task,
           attempt,
           machine,
-          right.text());
+          authority.logFields());
     }
   }
 }
--- a/src/main/java/org/sandford/audit/Provenance.java
+++ b/src/main/java/org/sandford/audit/Provenance.java
@@ -9,7 +9,7 @@
   String kind();
 
   /** Further {@code key=value} pairs for the log; empty where the kind says it all. */
-  default String detail() {
+  default String logFields() {
     return "";
   }
 
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public String detail() {
+    public String logFields() {
       return "session=" + session + " generation=" + generation;
     }
   }
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public String detail() {
+    public String logFields() {
       return "revision=" + revision;
     }
   }
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public String detail() {
+    public String logFields() {
       return "revision=" + revision;
     }
   }
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public String detail() {
+    public String logFields() {
       return "owner=" + owner;
     }
   }
--- a/src/main/java/org/sandford/cloud/CloudClient.java
+++ b/src/main/java/org/sandford/cloud/CloudClient.java
@@ -53,43 +53,43 @@
   private final String address;
   private final TokenBucket rate;
   private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
-  private boolean waking;
+  private boolean sendScheduled;
 
   /**
    * A client that sends nothing before it is asked to.
    *
-   * @param rps the cloud's rate in requests per second, of which a share is used
+   * @param requestsPerSecond the cloud's rate in requests per second, of which a share is used
    */
-  public CloudClient(EventLoop loop, HttpTransport http, String address, double rps) {
+  public CloudClient(EventLoop loop, HttpTransport http, String address, double requestsPerSecond) {
     this.loop = loop;
     this.http = http;
     this.address = address;
-    this.rate = new TokenBucket(loop, rps * ScalingConstants.CLOUD_RATE_SHARE);
+    this.rate = new TokenBucket(loop, requestsPerSecond * ScalingConstants.CLOUD_RATE_SHARE);
   }
 
   private void enqueue(Runnable send) {
     queue.addLast(send);
-    pump();
+    sendQueued();
   }
 
-  private void pump() {
+  private void sendQueued() {
     while (!queue.isEmpty() && rate.allows(1)) {
       rate.take(1);
       queue.pollFirst().run();
     }
-    if (!queue.isEmpty() && !waking) {
-      waking = true;
+    if (!queue.isEmpty() && !sendScheduled) {
+      sendScheduled = true;
       loop.after(
           Math.max(1, rate.waitMillis(1)),
           () -> {
-            waking = false;
-            pump();
+            sendScheduled = false;
+            sendQueued();
           });
     }
   }
 
   /** Reads the instance types; gives null when they could not be read. */
-  public void instanceTypes(Consumer<List<InstanceType>> done) {
+  public void instanceTypes(Consumer<List<InstanceType>> onResult) {
     enqueue(
         () ->
             http.send(
@@ -102,8 +102,8 @@
                   List<InstanceType> instanceTypes = new ArrayList<>();
                   Json.read(reply.body())
                       .path("machine_kinds")
-                      .forEach(n -> instanceTypes.add(InstanceType.read(n)));
-                  done.accept(
+                      .forEach(node -> instanceTypes.add(InstanceType.parse(node)));
+                  onResult.accept(
                       reply.ok() && !instanceTypes.isEmpty() ? List.copyOf(instanceTypes) : null);
                 }));
   }
@@ -111,56 +111,56 @@
   /**
    * Requests machines of one pool.
    *
-   * @param name identifies the request: repeated, it provisions nothing more and gives the outcome
-   *     of its first execution
-   * @param done gets the outcome and the names of the machines, which are empty unless the outcome
-   *     is {@link ProvisionOutcome#PROVISIONED}
+   * @param requestId identifies the request: repeated, it provisions nothing more and gives the
+   *     outcome of its first execution
+   * @param onResult gets the outcome and the names of the machines, which are empty unless the
+   *     outcome is {@link ProvisionOutcome#PROVISIONED}
    */
   public void provision(
-      String name,
-      String kind,
+      String requestId,
+      String instanceType,
       String zone,
       boolean spot,
-      int number,
-      BiConsumer<ProvisionOutcome, List<String>> done) {
-    ObjectNode body =
+      int machineCount,
+      BiConsumer<ProvisionOutcome, List<String>> onResult) {
+    ObjectNode request =
         Json.object()
-            .put("hire", name)
-            .put("machine_kind", kind)
+            .put("hire", requestId)
+            .put("machine_kind", instanceType)
             .put("site", zone)
             .put("reclaimable", spot)
-            .put("number", number);
+            .put("number", machineCount);
     enqueue(
         () ->
             http.send(
                 address,
                 "POST",
                 "/machines",
-                Json.bytes(body),
+                Json.bytes(request),
                 ScalingConstants.CLOUD_CALL_TIMEOUT_MS,
                 reply -> {
-                  JsonNode answer = Json.read(reply.body());
-                  List<String> hosts = new ArrayList<>();
-                  answer.path("hosts").forEach(host -> hosts.add(host.asText()));
+                  JsonNode body = Json.read(reply.body());
+                  List<String> machines = new ArrayList<>();
+                  body.path("hosts").forEach(host -> machines.add(host.asText()));
                   ProvisionOutcome outcome =
                       switch (reply.status()) {
                         case 200 -> ProvisionOutcome.PROVISIONED;
                         case 503 ->
-                            answer.path("error").asText().equals("no capacity")
+                            body.path("error").asText().equals("no capacity")
                                 ? ProvisionOutcome.NO_CAPACITY
                                 : ProvisionOutcome.NOT_EXECUTED;
                         case 400, 429, HttpTransport.Reply.NOT_SENT ->
                             ProvisionOutcome.NOT_EXECUTED;
                         default -> ProvisionOutcome.UNKNOWN;
                       };
-                  done.accept(outcome, hosts);
+                  onResult.accept(outcome, machines);
                 }));
   }
 
   /** Decommissions machines; gives true only when the cloud says that they are gone. */
-  public void decommission(List<String> machines, Consumer<Boolean> done) {
-    ObjectNode body = Json.object();
-    ArrayNode hosts = body.putArray("hosts");
+  public void decommission(List<String> machines, Consumer<Boolean> onResult) {
+    ObjectNode request = Json.object();
+    ArrayNode hosts = request.putArray("hosts");
     machines.forEach(hosts::add);
     enqueue(
         () ->
@@ -168,22 +168,24 @@
                 address,
                 "POST",
                 "/machines/return",
-                Json.bytes(body),
+                Json.bytes(request),
                 ScalingConstants.CLOUD_CALL_TIMEOUT_MS,
-                reply -> done.accept(reply.ok())));
+                reply -> onResult.accept(reply.ok())));
   }
 
   /** Reads the whole machine list, page by page; gives null when a page failed. */
-  public void list(Consumer<List<ListedInstance>> done) {
-    listFrom("", new ArrayList<>(), done);
+  public void list(Consumer<List<ListedInstance>> onResult) {
+    listFrom("", new ArrayList<>(), onResult);
   }
 
   private void listFrom(
-      String since, List<ListedInstance> collected, Consumer<List<ListedInstance>> done) {
+      String afterName, List<ListedInstance> collected, Consumer<List<ListedInstance>> onResult) {
     String path =
         "/machines?limit="
             + ScalingConstants.MACHINE_LIST_PAGE_SIZE
-            + (since.isEmpty() ? "" : "&since=" + URLEncoder.encode(since, StandardCharsets.UTF_8));
+            + (afterName.isEmpty()
+                ? ""
+                : "&since=" + URLEncoder.encode(afterName, StandardCharsets.UTF_8));
     enqueue(
         () ->
             http.send(
@@ -194,24 +196,24 @@
                 ScalingConstants.CLOUD_CALL_TIMEOUT_MS,
                 reply -> {
                   if (!reply.ok()) {
-                    done.accept(null);
+                    onResult.accept(null);
                     return;
                   }
                   JsonNode body = Json.read(reply.body());
-                  String last = since;
+                  String lastName = afterName;
                   for (JsonNode host : body.path("hosts")) {
-                    last = host.path("name_id").asText();
-                    collected.add(readInstance(host));
+                    lastName = host.path("name_id").asText();
+                    collected.add(parseInstance(host));
                   }
-                  if (body.path("more").asBoolean() && !last.equals(since)) {
-                    listFrom(last, collected, done);
+                  if (body.path("more").asBoolean() && !lastName.equals(afterName)) {
+                    listFrom(lastName, collected, onResult);
                   } else {
-                    done.accept(collected);
+                    onResult.accept(collected);
                   }
                 }));
   }
 
-  private static ListedInstance readInstance(JsonNode host) {
+  private static ListedInstance parseInstance(JsonNode host) {
     return new ListedInstance(
         host.path("name_id").asText(),
         host.path("addr").asText(""),
--- a/src/main/java/org/sandford/cloud/InstanceType.java
+++ b/src/main/java/org/sandford/cloud/InstanceType.java
@@ -28,7 +28,7 @@
     double bootS,
     double fetchGbPerS,
     List<String> zones) {
-  static InstanceType read(JsonNode node) {
+  static InstanceType parse(JsonNode node) {
     List<String> zones = new ArrayList<>();
     node.path("sites").forEach(zone -> zones.add(zone.asText()));
     return new InstanceType(
@@ -48,9 +48,11 @@
     return spot ? spotPrice : price;
   }
 
-  /** Whether one empty machine holds these amounts; {@code needRam} is in GB. */
-  public boolean fits(double needCpus, double needGpus, double needRam) {
-    double e = PlacementConstants.EPSILON;
-    return needCpus <= cpus + e && needGpus <= gpus + e && needRam <= ram + e;
+  /** Whether one empty machine holds these amounts; {@code requiredRamGb} is in GB. */
+  public boolean fits(double requiredCpus, double requiredGpus, double requiredRamGb) {
+    double tolerance = PlacementConstants.EPSILON;
+    return requiredCpus <= cpus + tolerance
+        && requiredGpus <= gpus + tolerance
+        && requiredRamGb <= ram + tolerance;
   }
 }
--- a/src/main/java/org/sandford/constants/StoreConstants.java
+++ b/src/main/java/org/sandford/constants/StoreConstants.java
@@ -20,7 +20,7 @@
   public static final int STORE_MAX_ATTEMPTS = 5;
 
   /** Share of a second's write rate that must be left over for writes that nobody waits for. */
-  public static final double STORE_SPARE_SHARE = 0.5;
+  public static final double SPARE_WRITE_RATE_SHARE = 0.5;
 
   /** Bytes of a transaction's body at the most: the protocol's 64 KiB without its frame. */
   public static final int STORE_TXN_MAX_BYTES = 56 * 1024;
--- a/src/main/java/org/sandford/model/ApiResponse.java
+++ b/src/main/java/org/sandford/model/ApiResponse.java
@@ -14,11 +14,11 @@
  */
 public record ApiResponse(int status, ObjectNode body, int retryAfterS, Provenance basis) {
   private static final int NO_RETRY_AFTER = 0;
-  private static final Provenance NO_CLAIM = new Provenance.None();
+  private static final Provenance NO_PROVENANCE = new Provenance.None();
 
   /** An answer that claims nothing about a job. */
   public static ApiResponse of(int status, ObjectNode body) {
-    return of(status, body, NO_CLAIM);
+    return of(status, body, NO_PROVENANCE);
   }
 
   /** An answer about a job, with what it rests on. */
@@ -33,7 +33,7 @@
 
   /** A refusal for now, with the seconds after which to repeat the request. */
   public static ApiResponse later(int status, String reason, int retryAfterS) {
-    return new ApiResponse(status, Json.object().put("error", reason), retryAfterS, NO_CLAIM);
+    return new ApiResponse(status, Json.object().put("error", reason), retryAfterS, NO_PROVENANCE);
   }
 
   /** The job's {@code status} in the body, or an empty text when the body names none. */
--- a/src/main/java/org/sandford/model/JobSpec.java
+++ b/src/main/java/org/sandford/model/JobSpec.java
@@ -135,9 +135,9 @@
             .put(Field.GPUS, gpus)
             .put(Field.RAM_GB, ram)
             .put(Field.ZONE, zone)
-            .put(Field.SAME_ZONE, asNumber(sameZone))
-            .put(Field.SPREAD_OVER_ZONES, asNumber(spreadAcrossZones))
-            .put(Field.SPOT_ALLOWED, asNumber(spotAllowed))
+            .put(Field.SAME_ZONE, toFlag(sameZone))
+            .put(Field.SPREAD_ACROSS_ZONES, toFlag(spreadAcrossZones))
+            .put(Field.SPOT_ALLOWED, toFlag(spotAllowed))
             .put(Field.IMAGE, image)
             .put(Field.IMAGE_GB, imageGb)
             .put(Field.EXPECTED_S, expectedS)
@@ -170,9 +170,9 @@
         node.path(Field.RAM_GB).asDouble(),
         Set.copyOf(instanceTypes),
         node.path(Field.ZONE).asText(""),
-        isTrue(node.path(Field.SAME_ZONE)),
-        isTrue(node.path(Field.SPREAD_OVER_ZONES)),
-        isTrue(node.path(Field.SPOT_ALLOWED)),
+        isFlagSet(node.path(Field.SAME_ZONE)),
+        isFlagSet(node.path(Field.SPREAD_ACROSS_ZONES)),
+        isFlagSet(node.path(Field.SPOT_ALLOWED)),
         node.path(Field.IMAGE).asText(),
         node.path(Field.IMAGE_GB).asDouble(),
         node.path(Field.EXPECTED_S).asDouble(),
@@ -181,12 +181,12 @@
         node.path(Field.DEADLINE_S).asDouble());
   }
 
-  private static int asNumber(boolean value) {
+  private static int toFlag(boolean value) {
     return value ? 1 : 0;
   }
 
-  private static boolean isTrue(JsonNode number) {
-    return number.asInt() == 1;
+  private static boolean isFlagSet(JsonNode flag) {
+    return flag.asInt() == 1;
   }
 
   /** The field names of the compact form. */
@@ -201,7 +201,7 @@
     static final String RAM_GB = "ram";
     static final String ZONE = "z";
     static final String SAME_ZONE = "to";
-    static final String SPREAD_OVER_ZONES = "sc";
+    static final String SPREAD_ACROSS_ZONES = "sc";
     static final String SPOT_ALLOWED = "sp";
     static final String IMAGE = "i";
     static final String IMAGE_GB = "ig";
--- a/src/main/java/org/sandford/model/TaskId.java
+++ b/src/main/java/org/sandford/model/TaskId.java
@@ -10,14 +10,14 @@
   private static final char SEPARATOR = '/';
 
   /** Parses the protocol form {@code job/number}; null when the text is not of that form. */
-  public static TaskId read(String wire) {
-    int separator = wire.lastIndexOf(SEPARATOR);
+  public static TaskId read(String text) {
+    int separator = text.lastIndexOf(SEPARATOR);
     if (separator <= 0) {
       return null;
     }
     try {
-      int task = Integer.parseInt(wire.substring(separator + 1));
-      return new TaskId(wire.substring(0, separator), task);
+      int task = Integer.parseInt(text.substring(separator + 1));
+      return new TaskId(text.substring(0, separator), task);
     } catch (NumberFormatException malformed) {
       return null;
     }
--- a/src/main/java/org/sandford/store/OpenJobReader.java
+++ b/src/main/java/org/sandford/store/OpenJobReader.java
@@ -29,9 +29,9 @@
   private final AuditLog audit;
 
   /** Callers whose listing has not begun. */
-  private List<Consumer<Map<String, Entry>>> waiting = new ArrayList<>();
+  private List<Consumer<Map<String, Entry>>> queuedCallers = new ArrayList<>();
 
-  private boolean listing;
+  private boolean listingInProgress;
 
   /** Makes a reader; nothing is read yet. */
   public OpenJobReader(EventLoop loop, StoreClient store, AuditLog audit) {
@@ -50,30 +50,30 @@
    * is missing from it has ended. It is repeated until the store answers.
    */
   public void openJobs(Consumer<Map<String, Entry>> onListed) {
-    waiting.add(onListed);
+    queuedCallers.add(onListed);
     list();
   }
 
   private void list() {
-    if (listing || waiting.isEmpty()) {
+    if (listingInProgress || queuedCallers.isEmpty()) {
       return;
     }
-    listing = true;
-    long beganAt = loop.nanos();
-    List<Consumer<Map<String, Entry>>> answered = waiting;
-    waiting = new ArrayList<>();
+    listingInProgress = true;
+    long startedAtNanos = loop.nanos();
+    List<Consumer<Map<String, Entry>>> callers = queuedCallers;
+    queuedCallers = new ArrayList<>();
     store.list(
         OPEN_PREFIX,
         result -> {
-          listing = false;
+          listingInProgress = false;
           if (result instanceof ListResult.Listed listed) {
             audit.openJobsListed(
-                listed.entries().size(), listed.revision(), (loop.nanos() - beganAt) / 1e6);
+                listed.entries().size(), listed.revision(), (loop.nanos() - startedAtNanos) / 1e6);
             Map<String, Entry> jobs = jobsById(listed.entries());
-            answered.forEach(consumer -> consumer.accept(jobs));
+            callers.forEach(caller -> caller.accept(jobs));
             list();
           } else {
-            waiting.addAll(0, answered);
+            queuedCallers.addAll(0, callers);
             loop.after(StoreConstants.STORE_RETRY_MS, this::list);
           }
         });
--- a/src/main/java/org/sandford/store/RecordWriter.java
+++ b/src/main/java/org/sandford/store/RecordWriter.java
@@ -73,7 +73,7 @@
   private int unansweredWrites;
 
   /** Progress is under way, or waits for a spare write rate. */
-  private boolean progressWriteScheduled;
+  private boolean progressWritePending;
 
   private boolean flushScheduled;
 
@@ -126,7 +126,7 @@
     while (transactionsInFlight < StoreConstants.MAX_TXNS_IN_FLIGHT && unsentUrgentWrites() > 0) {
       sendUrgentWrites();
     }
-    if (!progressWriteScheduled && !queues.get(WriteKind.PROGRESS).isEmpty()) {
+    if (!progressWritePending && !queues.get(WriteKind.PROGRESS).isEmpty()) {
       sendProgressWrites();
     }
   }
@@ -136,31 +136,31 @@
     Batch batch = new Batch(maxOps);
     batch.takeFrom(queues.get(WriteKind.TERMINAL_STATE));
     batch.takeFrom(queues.get(WriteKind.NEW_JOB));
-    int number = batch.writes.size();
+    int writeCount = batch.writes.size();
     transactionsInFlight++;
-    unansweredWrites += number;
+    unansweredWrites += writeCount;
     send(
         batch.writes,
         hasTerminalStates ? Priority.MAP : Priority.RECORD,
         () -> {
           transactionsInFlight--;
-          unansweredWrites -= number;
+          unansweredWrites -= writeCount;
         });
   }
 
   /** Writes progress, one transaction at a time, where the write rate is far from used up. */
   private void sendProgressWrites() {
-    progressWriteScheduled = true;
+    progressWritePending = true;
     if (store.hasSpareWriteRate()) {
       Batch batch = new Batch(maxOps);
       batch.takeFrom(queues.get(WriteKind.PROGRESS));
-      send(batch.writes, Priority.RECORD, () -> progressWriteScheduled = false);
+      send(batch.writes, Priority.RECORD, () -> progressWritePending = false);
       return;
     }
     loop.after(
         StoreConstants.STORE_RETRY_MS,
         () -> {
-          progressWriteScheduled = false;
+          progressWritePending = false;
           flush();
         });
   }
@@ -170,8 +170,8 @@
     private final int maxOps;
     private final List<Write> writes = new ArrayList<>();
     private final Set<String> keys = new HashSet<>();
-    private int ops;
-    private int bytes;
+    private int opCount;
+    private int totalBytes;
 
     Batch(int maxOps) {
       this.maxOps = maxOps;
@@ -181,26 +181,27 @@
     void takeFrom(ArrayDeque<Write> queue) {
       for (Iterator<Write> it = queue.iterator(); it.hasNext(); ) {
         Write write = it.next();
-        int size = Json.bytes(StoreClient.txnBody(write.conditions, write.ops)).length;
-        if (!writes.isEmpty() && exceedsLimits(write, size)) {
+        int writeBytes = Json.bytes(StoreClient.txnBody(write.conditions, write.ops)).length;
+        if (!writes.isEmpty() && exceedsLimits(write, writeBytes)) {
           return;
         }
         if (write.ops.stream().noneMatch(op -> keys.contains(op.key()))) {
           it.remove();
-          add(write, size);
+          add(write, writeBytes);
         }
       }
     }
 
-    private boolean exceedsLimits(Write write, int size) {
-      return ops + write.ops.size() > maxOps || bytes + size > StoreConstants.STORE_TXN_MAX_BYTES;
+    private boolean exceedsLimits(Write write, int writeBytes) {
+      return opCount + write.ops.size() > maxOps
+          || totalBytes + writeBytes > StoreConstants.STORE_TXN_MAX_BYTES;
     }
 
-    private void add(Write write, int size) {
+    private void add(Write write, int writeBytes) {
       writes.add(write);
       write.ops.forEach(op -> keys.add(op.key()));
-      ops += write.ops.size();
-      bytes += size;
+      opCount += write.ops.size();
+      totalBytes += writeBytes;
     }
   }
 
@@ -211,7 +212,7 @@
     List<Write> sent = new ArrayList<>();
     List<Write> postponed = new ArrayList<>();
     for (Write write : batch) {
-      if (agree(conditions, write.conditions)) {
+      if (isCompatible(conditions, write.conditions)) {
         conditions.putAll(write.conditions);
         ops.addAll(write.ops);
         sent.add(write);
@@ -227,14 +228,14 @@
         priority,
         result -> {
           onAnswered.run();
-          finish(sent, result);
+          deliverResults(sent, result);
           flushSoon();
         });
   }
 
   /** Whether no key has different revisions in both. */
-  private static boolean agree(Map<String, Long> conditions, Map<String, Long> more) {
-    return more.entrySet().stream()
+  private static boolean isCompatible(Map<String, Long> conditions, Map<String, Long> added) {
+    return added.entrySet().stream()
         .allMatch(
             condition ->
                 conditions
@@ -243,7 +244,7 @@
   }
 
   /** Hands back the results; of a conflict's writes only those whose own conditions failed. */
-  private void finish(List<Write> batch, TransactionResult result) {
+  private void deliverResults(List<Write> batch, TransactionResult result) {
     if (result.outcome() != Outcome.CONFLICT) {
       batch.forEach(write -> write.onResult.accept(result));
       return;
--- a/src/main/java/org/sandford/store/StoreRequestQueue.java
+++ b/src/main/java/org/sandford/store/StoreRequestQueue.java
@@ -47,7 +47,7 @@
   private final TokenBucket writeRate;
   private final EnumMap<Priority, ArrayDeque<QueuedRequest>> queues = new EnumMap<>(Priority.class);
   private final int maxQueuedReads;
-  private boolean wakeScheduled;
+  private boolean sendScheduled;
 
   /**
    * Makes an empty queue.
@@ -77,7 +77,7 @@
 
   /** Whether enough of the write rate is left over for writes that nobody waits for. */
   boolean hasSpareWriteRate() {
-    return writeRate.holds(writeRate.most() * StoreConstants.STORE_SPARE_SHARE);
+    return writeRate.holds(writeRate.most() * StoreConstants.SPARE_WRITE_RATE_SHARE);
   }
 
   /** Sends the request when its turn comes; {@code onReply} runs exactly once, on the loop. */
@@ -115,7 +115,7 @@
   }
 
   private void sendQueued() {
-    long waitMs = Long.MAX_VALUE;
+    long writeRateWaitMs = Long.MAX_VALUE;
     for (Priority priority : Priority.values()) {
       ArrayDeque<QueuedRequest> queue = queues.get(priority);
       while (!queue.isEmpty()) {
@@ -123,12 +123,12 @@
         // Renewals are never held up by our own accounting: a lost session lease costs a failover.
         if (priority != Priority.RENEWAL) {
           if (!requestRate.allows(1)) {
-            wakeAfter(requestRate.waitMillis(1));
+            sendQueuedAfter(requestRate.waitMillis(1));
             return;
           }
           if (head.writeOps > 0 && !writeRate.allows(head.writeOps)) {
             // Reads behind it need not wait for the write rate.
-            waitMs = Math.min(waitMs, writeRate.waitMillis(head.writeOps));
+            writeRateWaitMs = Math.min(writeRateWaitMs, writeRate.waitMillis(head.writeOps));
             break;
           }
         }
@@ -140,20 +140,20 @@
         head.send.run();
       }
     }
-    if (waitMs < Long.MAX_VALUE) {
-      wakeAfter(waitMs);
+    if (writeRateWaitMs < Long.MAX_VALUE) {
+      sendQueuedAfter(writeRateWaitMs);
     }
   }
 
-  private void wakeAfter(long millis) {
-    if (wakeScheduled) {
+  private void sendQueuedAfter(long millis) {
+    if (sendScheduled) {
       return;
     }
-    wakeScheduled = true;
+    sendScheduled = true;
     loop.after(
         Math.max(1, millis),
         () -> {
-          wakeScheduled = false;
+          sendScheduled = false;
           sendQueued();
         });
   }
--- a/src/test/java/org/sandford/audit/AuditLogTest.java
+++ b/src/test/java/org/sandford/audit/AuditLogTest.java
@@ -18,10 +18,10 @@
   }
 
   @Test
-  void detailsAreKeysWithValuesWithoutSpaces() {
-    assertEquals("session=c0#1 generation=7", new Provenance.OwnerMemory("c0#1", 7).detail());
-    assertEquals("revision=412", new Provenance.StoreRead(412).detail());
-    assertEquals("owner=c2", new Provenance.Forwarded("c2").detail());
-    assertEquals("", new Provenance.None().detail());
+  void logFieldsAreKeyValuePairsWithoutSpaces() {
+    assertEquals("session=c0#1 generation=7", new Provenance.OwnerMemory("c0#1", 7).logFields());
+    assertEquals("revision=412", new Provenance.StoreRead(412).logFields());
+    assertEquals("owner=c2", new Provenance.Forwarded("c2").logFields());
+    assertEquals("", new Provenance.None().logFields());
   }
 }
--- a/src/test/java/org/sandford/store/StoreClientTest.java
+++ b/src/test/java/org/sandford/store/StoreClientTest.java
@@ -16,7 +16,7 @@
 /** What happens to requests beyond the store's rates. */
 class StoreClientTest {
   private static final double RPS = 100;
-  private static final int STORM = 1_000;
+  private static final int REQUEST_COUNT = 1_000;
 
   private final List<String> sent = new ArrayList<>();
 
@@ -24,28 +24,28 @@
   private final EventLoop loop = new ManualEventLoop();
 
   private final HttpTransport http =
-      (address, method, path, body, timeoutMs, done) -> sent.add(path);
+      (address, method, path, body, timeoutMs, onReply) -> sent.add(path);
   private final StoreClient store = new StoreClient(loop, http, "store:1", RPS, RPS);
 
   /** Without a bound, reads would wait behind others whose callers have given up. */
   @Test
   void readsThatWouldWaitTooLongFailAtOnce() {
     List<ReadResult> results = new ArrayList<>();
-    for (int i = 0; i < STORM; i++) {
+    for (int i = 0; i < REQUEST_COUNT; i++) {
       store.read("job/" + i, Priority.READ, results::add);
     }
-    int waiting = STORM - sent.size() - results.size();
+    int queued = REQUEST_COUNT - sent.size() - results.size();
     assertTrue(
         results.stream().allMatch(ReadResult.Unavailable.class::isInstance),
         "nothing is known of them");
-    assertTrue(waiting <= RPS, waiting + " reads wait");
+    assertTrue(queued <= RPS, queued + " reads wait");
     assertTrue(!results.isEmpty() && !sent.isEmpty());
   }
 
   @Test
   void writesAreQueuedWithoutBound() {
     List<Object> results = new ArrayList<>();
-    for (int i = 0; i < STORM; i++) {
+    for (int i = 0; i < REQUEST_COUNT; i++) {
       store.transact(Map.of(), List.of(Op.remove("job/" + i)), Priority.RECORD, results::add);
     }
     assertEquals(List.of(), results);
