--- a/src/main/java/org/sandford/audit/AuditLog.java
+++ b/src/main/java/org/sandford/audit/AuditLog.java
@@ -6,27 +6,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes one line for each decision that the users' rules depend on, and counts the same. A line is
- * {@code EVENT key=value ...} in a fixed order, without spaces in values, under the logger {@code
- * org.sandford.audit.AuditLog}. Changes of leadership and of ownership are few and stand at {@code
- * info}; reads, answers, starts and stops come many times a second and stand at {@code debug}. The
- * counters are kept at every level.
+ * Logs and counts each decision that guarantees to users depend on. A line is {@code EVENT
+ * key=value ...} in a fixed order, without spaces in values, under the logger {@code
+ * org.sandford.audit.AuditLog}. Changes of leadership and of ownership are rare and logged at
+ * {@code info}. Other events, such as answers and starts, occur many times a second and are logged
+ * at {@code debug}. Events are counted at every log level.
  */
 public final class AuditLog {
   private static final Logger log = LoggerFactory.getLogger(AuditLog.class);
 
-  /** How a terminal state became known here. */
+  /** How this controller learned a terminal state. */
   public enum LearnedBy {
-    /** By the watch of the store. */
+    /** From the watch of the store. */
     WATCH,
-    /** By a read of the store. */
+    /** From a read of the store. */
     READ,
-    /** By another controller. */
+    /** From another controller. */
     PEER
   }
 
   /**
-   * The right by which a machine's owner acts.
+   * The authority by which a machine's owner acts.
    *
    * @param session the incarnation id under whose session lease the machine is owned
    * @param token the fencing token that the worker agent was given
@@ -44,7 +44,7 @@
     counts.merge(event, 1L, Long::sum);
   }
 
-  /** The counters since the start as {@code key=value} pairs in the order of their names. */
+  /** Returns the counters since the start as {@code key=value} pairs, sorted by name. */
   public String counters() {
     StringBuilder text = new StringBuilder();
     counts.forEach(
@@ -53,13 +53,13 @@
     return text.toString();
   }
 
-  /** Another incarnation leads now, or none ({@code leader} is empty). */
+  /** Records that another incarnation leads now, or none if {@code leader} is empty. */
   public void leaderChanged(String leader, long revision) {
     increment("leaders");
     log.info("leader id={} revision={}", leader.isEmpty() ? "none" : leader, revision);
   }
 
-  /** This controller owns the team from now on. */
+  /** Records that this controller owns the team from now on. */
   public void teamAcquired(String team, long generation, String session, long mapRevision) {
     increment("teams_gained");
     log.info(
@@ -70,13 +70,13 @@
         mapRevision);
   }
 
-  /** This controller no longer owns the team. */
+  /** Records that this controller no longer owns the team. */
   public void teamRelinquished(String team, long generation, String reason) {
     increment("teams_lost");
     log.info("disown team={} generation={} why={}", team, generation, reason);
   }
 
-  /** A job's terminal state became known here. */
+  /** Records that this controller learned a job's terminal state. */
   public void terminalStateLearned(String job, String state, LearnedBy via, long revision) {
     increment(
         switch (via) {
@@ -87,13 +87,13 @@
     log.debug("end job={} state={} via={} revision={}", job, state, via, revision);
   }
 
-  /** The open jobs were listed; {@code revision} is the store's revision at the first page. */
+  /** Records a listing of the open jobs; {@code revision} is the store's at the first page. */
   public void openJobsListed(int jobs, long revision, double durationMs) {
     increment("listings");
     log.debug("list open_jobs={} epoch={} took_ms={}", jobs, revision, durationMs);
   }
 
-  /** A job's terminal state is sent to the store. */
+  /** Records that a job's terminal state is sent to the store. */
   public void terminalStateSent(String job, String state, long recordRevision, long teamsRevision) {
     increment("ends_written");
     log.debug(
@@ -104,7 +104,7 @@
         teamsRevision);
   }
 
-  /** A user is answered. */
+  /** Records an answer to a user. */
   public void answered(String verb, String job, int status, String state, Provenance provenance) {
     increment("answers_" + provenance.kind());
     if (log.isDebugEnabled()) {
@@ -119,7 +119,7 @@
     }
   }
 
-  /** A team's owner requests a start from a machine's owner. */
+  /** Records that a team's owner requests a start from a machine's owner. */
   public void startRequested(
       String job, int task, long attempt, String machine, long teamGeneration, String session) {
     increment("starts_asked");
@@ -133,14 +133,14 @@
         session);
   }
 
-  /** A machine's owner accepts a start. */
+  /** Records that a machine's owner accepts a start. */
   public void startAccepted(
       String job, int task, long attempt, String machine, Authority authority) {
     increment("starts_taken");
     logCommand("take_start", job, task, attempt, machine, authority);
   }
 
-  /** A machine's owner stops a task. */
+  /** Records that a machine's owner stops a task. */
   public void stopped(String job, int task, long attempt, String machine, Authority authority) {
     increment("stops");
     logCommand("stop", job, task, attempt, machine, authority);
--- a/src/main/java/org/sandford/audit/Provenance.java
+++ b/src/main/java/org/sandford/audit/Provenance.java
@@ -5,15 +5,15 @@
  * carries one, which the audit log shows.
  */
 public sealed interface Provenance {
-  /** The name of the kind in the log and in the counters. */
+  /** Returns the name of this provenance in the log and in the counters. */
   String kind();
 
-  /** Further {@code key=value} pairs for the log; empty where the kind says it all. */
+  /** Returns further {@code key=value} pairs for the log; empty if there are none. */
   default String logFields() {
     return "";
   }
 
-  /** Nothing about a job is claimed: a refusal, or no job at all. */
+  /** No statement about a job: a refusal, or an answer that concerns no job. */
   record None() implements Provenance {
     @Override
     public String kind() {
@@ -21,7 +21,7 @@
     }
   }
 
-  /** A stored terminal state that this controller remembers; it never changes. */
+  /** A stored terminal state that this controller has cached; it never changes. */
   record RememberedTerminalState() implements Provenance {
     @Override
     public String kind() {
@@ -30,7 +30,7 @@
   }
 
   /**
-   * What the team's owner has in memory.
+   * The state in the memory of the team's owner.
    *
    * @param session the incarnation id under whose session lease the team is owned
    * @param generation the team's generation in the assignment map
@@ -47,7 +47,7 @@
     }
   }
 
-  /** A read of the store that began after the request came; {@code revision} is the record's. */
+  /** A read of the store that began after the request arrived, with the record's revision. */
   record StoreRead(long revision) implements Provenance {
     @Override
     public String kind() {
@@ -60,7 +60,7 @@
     }
   }
 
-  /** A transaction that the store has confirmed under {@code revision}. */
+  /** A transaction that the store has confirmed at this revision. */
   record StoreWrite(long revision) implements Provenance {
     @Override
     public String kind() {
--- a/src/main/java/org/sandford/cloud/CloudClient.java
+++ b/src/main/java/org/sandford/cloud/CloudClient.java
@@ -17,14 +17,14 @@
 import org.sandford.runtime.TokenBucket;
 
 /**
- * Client of the cloud's HTTP interface. Requests leave in order, within the cloud's rate; none is
- * retried here. Results are given on the event loop, where all methods run.
+ * Client of the cloud's HTTP interface. Sends requests in order and within the cloud's rate limit,
+ * without retries. Runs on the event loop, where results are also delivered.
  */
 public final class CloudClient {
   /**
-   * A machine as the cloud lists it; the list may lag behind.
+   * A machine in the list that the cloud returns, which may be out of date.
    *
-   * @param address where its worker listens, or an empty text while it has none
+   * @param address the address of its worker, or an empty string while it has none
    * @param ageS seconds since it was provisioned
    */
   public record ListedInstance(
@@ -36,15 +36,15 @@
       String status,
       double ageS) {}
 
-  /** How a provisioning request ended. */
+  /** The outcome of a provisioning request. */
   public enum ProvisionOutcome {
     /** Executed; fewer machines than requested may have been provisioned. */
     PROVISIONED,
     /** The cloud has no more machines of this kind for now. */
     NO_CAPACITY,
-    /** Surely not executed; it may be sent again later. */
+    /** Certainly not executed; it may be sent again later. */
     NOT_EXECUTED,
-    /** It may have been executed: only the same request again tells. */
+    /** Possibly executed; the caller must repeat the same request to learn the outcome. */
     UNKNOWN
   }
 
@@ -56,9 +56,9 @@
   private boolean sendScheduled;
 
   /**
-   * A client that sends nothing before it is asked to.
+   * Creates a client; nothing is sent yet.
    *
-   * @param requestsPerSecond the cloud's rate in requests per second, of which a share is used
+   * @param requestsPerSecond the cloud's limit on requests, of which a share is used
    */
   public CloudClient(EventLoop loop, HttpTransport http, String address, double requestsPerSecond) {
     this.loop = loop;
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Reads the instance types; gives null when they could not be read. */
+  /** Reads the instance types; returns null if they could not be read or there are none. */
   public void instanceTypes(Consumer<List<InstanceType>> onResult) {
     enqueue(
         () ->
@@ -111,9 +111,9 @@
   /**
    * Requests machines of one pool.
    *
-   * @param requestId identifies the request: repeated, it provisions nothing more and gives the
-   *     outcome of its first execution
-   * @param onResult gets the outcome and the names of the machines, which are empty unless the
+   * @param requestId identifies the request; a repeated request provisions nothing more and returns
+   *     the outcome of its first execution
+   * @param onResult receives the outcome and the names of the machines, which are empty unless the
    *     outcome is {@link ProvisionOutcome#PROVISIONED}
    */
   public void provision(
@@ -157,7 +157,7 @@
                 }));
   }
 
-  /** Decommissions machines; gives true only when the cloud says that they are gone. */
+  /** Decommissions machines; returns true only if the cloud confirms that they are gone. */
   public void decommission(List<String> machines, Consumer<Boolean> onResult) {
     ObjectNode request = Json.object();
     ArrayNode hosts = request.putArray("hosts");
@@ -173,7 +173,7 @@
                 reply -> onResult.accept(reply.ok())));
   }
 
-  /** Reads the whole machine list, page by page; gives null when a page failed. */
+  /** Reads the whole machine list, page by page; returns null if a page could not be read. */
   public void list(Consumer<List<ListedInstance>> onResult) {
     listFrom("", new ArrayList<>(), onResult);
   }
--- a/src/main/java/org/sandford/cloud/InstanceType.java
+++ b/src/main/java/org/sandford/cloud/InstanceType.java
@@ -8,14 +8,14 @@
 /**
  * An instance type that the cloud offers.
  *
- * @param kind its name, as the cloud gives it
+ * @param kind its name in the cloud
  * @param cpus CPUs of a machine
  * @param gpus accelerators of a machine
  * @param ram memory of a machine, in GB
  * @param price price per hour of an on-demand machine
  * @param spotPrice price per hour of a spot machine
  * @param bootS nominal boot time, in seconds
- * @param fetchGbPerS how fast a machine fetches images, in GB per second
+ * @param fetchGbPerS download rate of images, in GB per second
  * @param zones zones in which it is offered
  */
 public record InstanceType(
@@ -43,12 +43,12 @@
         List.copyOf(zones));
   }
 
-  /** Its price per hour, as a spot machine or an on-demand one. */
+  /** Returns the price per hour of a spot machine or an on-demand machine. */
   public double price(boolean spot) {
     return spot ? spotPrice : price;
   }
 
-  /** Whether one empty machine holds these amounts; {@code requiredRamGb} is in GB. */
+  /** Returns whether one empty machine has room for these resources. */
   public boolean fits(double requiredCpus, double requiredGpus, double requiredRamGb) {
     double tolerance = PlacementConstants.EPSILON;
     return requiredCpus <= cpus + tolerance
--- a/src/main/java/org/sandford/cloud/package-info.java
+++ b/src/main/java/org/sandford/cloud/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Client of the cloud that machines are provisioned from. It owns no state but its queue of
- * requests; the words of the cloud's protocol are translated here and nowhere else. All of it runs
- * on the event loop; {@code scaling} is its only caller, and others read {@code InstanceType}.
+ * Client of the cloud that provides the machines. Its only state is the queue of requests. Names of
+ * the cloud's protocol are translated here and used nowhere else. Everything runs on the event
+ * loop. Only {@code scaling} calls the client; other packages use {@code InstanceType}.
  */
 package org.sandford.cloud;
--- a/src/main/java/org/sandford/model/ApiResponse.java
+++ b/src/main/java/org/sandford/model/ApiResponse.java
@@ -5,38 +5,38 @@
 import org.sandford.runtime.Json;
 
 /**
- * The answer to a request of a user or a worker.
+ * The response to a request from a user or a worker.
  *
  * @param status the HTTP status
  * @param body the JSON body
  * @param retryAfterS seconds for {@code Retry-After}; 0 for none
- * @param basis what the answer rests on
+ * @param basis the provenance of the response
  */
 public record ApiResponse(int status, ObjectNode body, int retryAfterS, Provenance basis) {
   private static final int NO_RETRY_AFTER = 0;
   private static final Provenance NO_PROVENANCE = new Provenance.None();
 
-  /** An answer that claims nothing about a job. */
+  /** Creates a response that states nothing about a job. */
   public static ApiResponse of(int status, ObjectNode body) {
     return of(status, body, NO_PROVENANCE);
   }
 
-  /** An answer about a job, with what it rests on. */
+  /** Creates a response about a job, with its provenance. */
   public static ApiResponse of(int status, ObjectNode body, Provenance basis) {
     return new ApiResponse(status, body, NO_RETRY_AFTER, basis);
   }
 
-  /** A final refusal, with a reason that a user can act on. */
+  /** Creates a final refusal, with a reason that a user can act on. */
   public static ApiResponse refuse(int status, String reason) {
     return later(status, reason, NO_RETRY_AFTER);
   }
 
-  /** A refusal for now, with the seconds after which to repeat the request. */
+  /** Creates a temporary refusal, with the seconds after which to repeat the request. */
   public static ApiResponse later(int status, String reason, int retryAfterS) {
     return new ApiResponse(status, Json.object().put("error", reason), retryAfterS, NO_PROVENANCE);
   }
 
-  /** The job's {@code status} in the body, or an empty text when the body names none. */
+  /** Returns the job's {@code status} from the body, or an empty string if it has none. */
   public String state() {
     return body.path("status").asText();
   }
--- a/src/main/java/org/sandford/model/HttpStatus.java
+++ b/src/main/java/org/sandford/model/HttpStatus.java
@@ -1,6 +1,6 @@
 package org.sandford.model;
 
-/** The HTTP statuses that users and workers are answered with. */
+/** HTTP status codes of responses to users and workers. */
 public final class HttpStatus {
   public static final int OK = 200;
   public static final int CREATED = 201;
--- a/src/main/java/org/sandford/model/JobSpec.java
+++ b/src/main/java/org/sandford/model/JobSpec.java
@@ -9,13 +9,12 @@
 import org.sandford.runtime.Json;
 
 /**
- * What a user submitted, checked, in the scheduler's terms. Amounts of resources are those of each
- * task.
+ * The validated specification of a job. Resource amounts are per task.
  *
  * @param id the job's id, chosen by its user
  * @param jobClass the class whose service-level objectives apply
  * @param team the team whose quota it uses
- * @param shape how its tasks belong together
+ * @param shape how its tasks run
  * @param rank its priority
  * @param tasks the number of its tasks, which are numbered from 0
  * @param cpus CPUs
@@ -55,14 +54,14 @@
     double checkpointCostS,
     double deadlineS) {
 
-  /** How the tasks of a job belong together. */
+  /** How the tasks of a job run. */
   public enum Shape {
     /** Independent tasks, each of which runs to completion. */
     ARRAY(0),
     /** Replicas that run until the job is cancelled. */
     SERVICE(1),
     /**
-     * Tasks that all run at the same time, or none does. Known from {@link
+     * Tasks that run all at the same time or not at all. Supported from record version {@link
      * ClusterConstants#RECORD_VERSION_GANGS} on.
      */
     GANG(2);
@@ -73,7 +72,7 @@
       this.number = number;
     }
 
-    /** The shape that records name by this number. */
+    /** Returns the shape that has this number in records. */
     static Shape of(int number) {
       return Arrays.stream(values())
           .filter(shape -> shape.number == number)
@@ -82,7 +81,7 @@
     }
   }
 
-  /** Priorities; those with the lower number go first. */
+  /** Priorities; a lower number comes first. */
   public enum Rank {
     PRODUCTION(0),
     URGENT(1),
@@ -95,12 +94,12 @@
       this.number = number;
     }
 
-    /** The number by which records and peers name the rank. */
+    /** Returns the number that stands for the rank in records and messages to peers. */
     public int number() {
       return number;
     }
 
-    /** The rank that records name by this number. */
+    /** Returns the rank that has this number in records. */
     static Rank of(int number) {
       return Arrays.stream(values())
           .filter(rank -> rank.number == number)
@@ -109,19 +108,19 @@
     }
   }
 
-  /** Whether it is a service, whose replicas run until it is cancelled. */
+  /** Returns whether it is a service, whose replicas run until it is cancelled. */
   public boolean service() {
     return shape == Shape.SERVICE;
   }
 
-  /** Whether all of its tasks run at the same time or none does. */
+  /** Returns whether its tasks run all at the same time or not at all. */
   public boolean gang() {
     return shape == Shape.GANG;
   }
 
   /**
-   * The compact form in the job's record and between controllers. Controllers of the production
-   * version read it, so neither names nor their order may change.
+   * Returns the compact form for the job's record and for other controllers. Controllers of the
+   * production version read it, so neither field names nor their order may change.
    */
   public ObjectNode json() {
     ObjectNode node =
@@ -153,7 +152,7 @@
   /**
    * Reads the compact form.
    *
-   * @throws IllegalArgumentException if it names a shape or a rank that this version does not know
+   * @throws IllegalArgumentException if its shape or rank is unknown to this version
    */
   public static JobSpec read(String id, JsonNode node) {
     Set<String> instanceTypes = new TreeSet<>();
--- a/src/main/java/org/sandford/model/TaskId.java
+++ b/src/main/java/org/sandford/model/TaskId.java
@@ -9,7 +9,7 @@
 public record TaskId(String job, int task) implements Comparable<TaskId> {
   private static final char SEPARATOR = '/';
 
-  /** Parses the protocol form {@code job/number}; null when the text is not of that form. */
+  /** Parses the protocol form {@code job/number}; returns null for any other text. */
   public static TaskId read(String text) {
     int separator = text.lastIndexOf(SEPARATOR);
     if (separator <= 0) {
@@ -29,7 +29,7 @@
     return byJob != 0 ? byJob : Integer.compare(task, other.task);
   }
 
-  /** The protocol form {@code job/number}. */
+  /** Returns the protocol form {@code job/number}. */
   @Override
   public String toString() {
     return job + SEPARATOR + task;
--- a/src/main/java/org/sandford/store/KeyChange.java
+++ b/src/main/java/org/sandford/store/KeyChange.java
@@ -1,15 +1,13 @@
 package org.sandford.store;
 
-/**
- * What the store told of one key: its value ({@link StoreClient.Entry}), or that it was removed.
- */
+/** The latest change of one key: its new value ({@link StoreClient.Entry}) or its removal. */
 public sealed interface KeyChange permits StoreClient.Entry, KeyChange.Removal {
-  /** The key. */
+  /** Returns the key. */
   String key();
 
-  /** The store's revision of this change; it grows with every change of any key. */
+  /** Returns the store's revision of this change; it increases with every change of any key. */
   long revision();
 
-  /** The key was removed. */
+  /** The removal of a key. */
   record Removal(String key, long revision) implements KeyChange {}
 }
--- a/src/main/java/org/sandford/store/LeaseGrant.java
+++ b/src/main/java/org/sandford/store/LeaseGrant.java
@@ -1,10 +1,10 @@
 package org.sandford.store;
 
-/** The outcome of asking the store for a lease. */
+/** The outcome of requesting a lease. */
 public sealed interface LeaseGrant {
   /** The store granted the lease with this id. */
   record Granted(long leaseId) implements LeaseGrant {}
 
-  /** The store refused or did not answer. A lease that was granted all the same expires unused. */
+  /** The store refused or did not answer. A lease that it granted nevertheless expires unused. */
   record Unavailable() implements LeaseGrant {}
 }
--- a/src/main/java/org/sandford/store/LeaseRenewal.java
+++ b/src/main/java/org/sandford/store/LeaseRenewal.java
@@ -2,14 +2,14 @@
 
 /** The outcome of renewing a lease. */
 public sealed interface LeaseRenewal {
-  /** The lease lasts for its whole time from the renewal on. */
+  /** The lease is valid for its full time to live from the renewal on. */
   record Renewed() implements LeaseRenewal {}
 
-  /** The store does not know the lease any more: it expired, and its keys are removed. */
+  /** The store no longer knows the lease: it expired, and its keys are removed. */
   record Expired() implements LeaseRenewal {}
 
   /**
-   * The store refused or did not answer; the lease may have been renewed or not.
+   * The store refused or did not answer; the lease may or may not have been renewed.
    *
    * @param status the HTTP status, or one of those that {@link
    *     org.sandford.runtime.HttpTransport.Reply} defines for requests without an answer
--- a/src/main/java/org/sandford/store/OpenJobReader.java
+++ b/src/main/java/org/sandford/store/OpenJobReader.java
@@ -13,9 +13,9 @@
 import org.sandford.store.StoreClient.Entry;
 
 /**
- * Lists the open jobs. An open job is stored under {@link #OPEN_PREFIX}, and from its end on only
- * its terminal state under {@link #TERMINAL_PREFIX}, so that the listing stays short. Runs on the
- * event loop.
+ * Lists the open jobs. An open job is stored under {@link #OPEN_PREFIX}. When it ends, only its
+ * terminal state remains, under {@link #TERMINAL_PREFIX}, which keeps the listing short. Runs on
+ * the event loop.
  */
 public final class OpenJobReader {
   /** Prefix of the keys of open jobs. */
@@ -28,26 +28,26 @@
   private final StoreClient store;
   private final AuditLog audit;
 
-  /** Callers whose listing has not begun. */
+  /** Callers whose listing has not started. */
   private List<Consumer<Map<String, Entry>>> queuedCallers = new ArrayList<>();
 
   private boolean listingInProgress;
 
-  /** Makes a reader; nothing is read yet. */
+  /** Creates a reader; nothing is read yet. */
   public OpenJobReader(EventLoop loop, StoreClient store, AuditLog audit) {
     this.loop = loop;
     this.store = store;
     this.audit = audit;
   }
 
-  /** The spec in an open job's record. */
+  /** Returns the specification in an open job's record. */
   public static JobSpec spec(String id, JsonNode record) {
     return JobSpec.read(id, record.path("s"));
   }
 
   /**
-   * Lists all open jobs by id. The listing begins after this call: a job that was stored before and
-   * is missing from it has ended. It is repeated until the store answers.
+   * Lists all open jobs by id. The listing starts after this call, so a job that was stored before
+   * and is missing from it has ended. It is repeated until the store answers.
    */
   public void openJobs(Consumer<Map<String, Entry>> onListed) {
     queuedCallers.add(onListed);
--- a/src/main/java/org/sandford/store/ReadResult.java
+++ b/src/main/java/org/sandford/store/ReadResult.java
@@ -8,6 +8,6 @@
   /** The store answered that the key does not exist. */
   record Absent() implements ReadResult {}
 
-  /** The store refused, did not answer, or was not asked: nothing is known of the key. */
+  /** The store refused, did not answer or was not asked, so nothing is known about the key. */
   record Unavailable() implements ReadResult {}
 }
--- a/src/main/java/org/sandford/store/RecordWriter.java
+++ b/src/main/java/org/sandford/store/RecordWriter.java
@@ -19,30 +19,30 @@
 import org.sandford.store.StoreClient.TransactionResult;
 
 /**
- * Group commit of job records: independent compare-and-swap writes share one transaction, as many
- * as the store's limits allow. A write whose condition fails is handed back; the others of its
- * transaction are sent again, since a transaction with a conflict was not applied. Runs on the
- * event loop.
+ * Group commit of job records: a transaction contains as many independent compare-and-swap writes
+ * as the store's limits allow. If a condition fails, the store applies none of them. The write with
+ * the failed condition then gets the conflict, and the others are sent again. Runs on the event
+ * loop.
  */
 public final class RecordWriter {
-  /** What a write is for; the earlier constant is written first. */
+  /** The purpose of a write, in the order in which writes are sent. */
   public enum WriteKind {
-    /** A terminal state: an abort is answered, and exits are acknowledged, only after it. */
+    /** A job's terminal state; aborts are answered and exits acknowledged once it is stored. */
     TERMINAL_STATE,
-    /** A new job, whose user waits. */
+    /** A new job, whose user waits for the answer. */
     NEW_JOB,
-    /** Finished tasks of an open job, which nobody waits for. */
+    /** Changes that nobody waits for, such as finished tasks of an open job. */
     PROGRESS
   }
 
   /**
    * One independent write.
    *
-   * @param conditions the revisions that its keys must have
-   * @param ops what it changes
-   * @param kind what it is for
-   * @param onSent runs when it is put into a transaction: from then on it may be applied
-   * @param onResult gets the result of the transaction
+   * @param conditions the required revision of each key
+   * @param ops the changes
+   * @param kind its purpose
+   * @param onSent runs whenever it is put into a transaction; from then on it may be applied
+   * @param onResult receives the result of the transaction
    */
   public record Write(
       Map<String, Long> conditions,
@@ -50,7 +50,7 @@
       WriteKind kind,
       Runnable onSent,
       Consumer<TransactionResult> onResult) {
-    /** A write of which the caller need not know when it is sent. */
+    /** Creates a write whose caller need not know when it is sent. */
     public Write(
         Map<String, Long> conditions,
         List<Op> ops,
@@ -65,22 +65,21 @@
   private final int maxOps;
   private final EnumMap<WriteKind, ArrayDeque<Write>> queues = new EnumMap<>(WriteKind.class);
 
-  /**
-   * Transactions with terminal states and new jobs that are not answered, and the writes in them.
-   */
+  /** Unanswered transactions with terminal states and new jobs. */
   private int transactionsInFlight;
 
+  /** The writes in these transactions. */
   private int unansweredWrites;
 
-  /** Progress is under way, or waits for a spare write rate. */
+  /** Whether a progress write is in flight or waits for spare write rate. */
   private boolean progressWritePending;
 
   private boolean flushScheduled;
 
   /**
-   * Makes a writer with nothing to write.
+   * Creates a writer without pending writes.
    *
-   * @param maxOps changes in one transaction at the most
+   * @param maxOps the maximum number of changes in one transaction
    */
   public RecordWriter(EventLoop loop, StoreClient store, int maxOps) {
     this.loop = loop;
@@ -91,7 +90,7 @@
     }
   }
 
-  /** Writes that somebody waits for and that are not answered yet. */
+  /** Returns the number of terminal states and new jobs that are queued or unanswered. */
   public int backlog() {
     return unsentUrgentWrites() + unansweredWrites;
   }
@@ -100,13 +99,13 @@
     return queues.get(WriteKind.TERMINAL_STATE).size() + queues.get(WriteKind.NEW_JOB).size();
   }
 
-  /** Sends the write with the next transactions; its result arrives exactly once. */
+  /** Queues the write for the next transactions; its result arrives exactly once. */
   public void write(Write write) {
     queues.get(write.kind).addLast(write);
     flushSoon();
   }
 
-  /** Withdraws a write that has not been sent; returns whether it will not be. */
+  /** Removes the write from its queue; returns false if it is in flight or answered. */
   public boolean withdraw(Write write) {
     return queues.get(write.kind).remove(write);
   }
@@ -148,7 +147,7 @@
         });
   }
 
-  /** Writes progress, one transaction at a time, where the write rate is far from used up. */
+  /** Sends progress, one transaction at a time, while enough of the write rate is unused. */
   private void sendProgressWrites() {
     progressWritePending = true;
     if (store.hasSpareWriteRate()) {
@@ -165,7 +164,7 @@
         });
   }
 
-  /** Writes for one transaction, within the store's limits, that name no key twice. */
+  /** Writes for one transaction, within the store's limits and with no key changed twice. */
   private static final class Batch {
     private final int maxOps;
     private final List<Write> writes = new ArrayList<>();
@@ -177,7 +176,10 @@
       this.maxOps = maxOps;
     }
 
-    /** Moves writes from the queue into the batch, in order, until one exceeds the limits. */
+    /**
+     * Moves writes from the queue into the batch, in order, until one exceeds the limits. Leaves
+     * writes in the queue that change a key of the batch.
+     */
     void takeFrom(ArrayDeque<Write> queue) {
       for (Iterator<Write> it = queue.iterator(); it.hasNext(); ) {
         Write write = it.next();
@@ -205,7 +207,7 @@
     }
   }
 
-  /** Sends the writes whose conditions agree; the others wait for the next transaction. */
+  /** Sends the writes with compatible conditions; requeues the others for the next transaction. */
   private void send(List<Write> batch, Priority priority, Runnable onAnswered) {
     Map<String, Long> conditions = new LinkedHashMap<>();
     List<Op> ops = new ArrayList<>();
@@ -233,7 +235,7 @@
         });
   }
 
-  /** Whether no key has different revisions in both. */
+  /** Returns whether no key is required at two different revisions. */
   private static boolean isCompatible(Map<String, Long> conditions, Map<String, Long> added) {
     return added.entrySet().stream()
         .allMatch(
@@ -243,7 +245,7 @@
                     .equals(condition.getValue()));
   }
 
-  /** Hands back the results; of a conflict's writes only those whose own conditions failed. */
+  /** Delivers the result; after a conflict, requeues writes whose own conditions held. */
   private void deliverResults(List<Write> batch, TransactionResult result) {
     if (result.outcome() != Outcome.CONFLICT) {
       batch.forEach(write -> write.onResult.accept(result));
--- a/src/main/java/org/sandford/store/StoreClient.java
+++ b/src/main/java/org/sandford/store/StoreClient.java
@@ -20,40 +20,40 @@
 
 /**
  * Client of the consensus-backed key-value store: reads, compare-and-swap transactions, leases and
- * watches. It maps the names of the store's protocol to the terms of the field; requests leave
- * through a {@link StoreRequestQueue}. Runs on the event loop, where every callback runs exactly
- * once; failures are values, nothing is thrown.
+ * watches. Translates the names of the store's protocol and sends requests through a {@link
+ * StoreRequestQueue}. Runs on the event loop, where every callback runs exactly once. Failures are
+ * reported as result values; nothing is thrown.
  */
 public final class StoreClient {
-  /** Which requests leave first when the rates are short: the earlier constant before the later. */
+  /** Priorities of requests under a rate limit, highest first. */
   public enum Priority {
-    /** Leases, leadership and watches, which are never held up. */
+    /** Leases, leadership and watches, which are never delayed. */
     RENEWAL,
-    /** The assignment map, and terminal states that a user waits for. */
+    /** Listings, writes of the assignment map, and terminal states that a user waits for. */
     MAP,
-    /** Job records. */
+    /** Other writes of job records. */
     RECORD,
-    /** Reads of single keys, which fail at once when too many wait. */
+    /** Reads of single keys, which fail at once when too many are queued. */
     READ
   }
 
-  /** How a transaction ended, as far as the caller can know. */
+  /** The outcome of a transaction, as far as the caller can know it. */
   public enum Outcome {
     /** Applied; the revision is known. */
     APPLIED,
     /** Not applied: a condition failed. */
     CONFLICT,
-    /** Not applied: refused, malformed or never sent. */
+    /** Not applied: refused, malformed or not sent. */
     REFUSED,
-    /** It may have been applied, or may yet be: read back, never just repeat. */
+    /** Possibly applied, now or later; the caller must read the keys back before any retry. */
     UNKNOWN
   }
 
   /**
    * The result of a transaction.
    *
-   * @param revision the store's revision after it; 0 unless the store answered
-   * @param failed the keys whose conditions failed, for {@link Outcome#CONFLICT}
+   * @param revision the store's revision after it; 0 unless it was applied or conflicted
+   * @param failed the keys whose conditions failed; empty unless the outcome is a conflict
    */
   public record TransactionResult(Outcome outcome, long revision, List<String> failed) {}
 
@@ -62,7 +62,7 @@
 
   /** A change of one key in a transaction. */
   public sealed interface Op {
-    /** The key to change. */
+    /** Returns the key to change. */
     String key();
 
     /** Stores a value. */
@@ -74,17 +74,17 @@
     /** Removes the key. */
     record Remove(String key) implements Op {}
 
-    /** Stores a value. */
+    /** Creates a change that stores a value. */
     static Op put(String key, ObjectNode value) {
       return new Put(key, value);
     }
 
-    /** Stores a value that the store removes when the lease expires. */
+    /** Creates a change that stores a value until the lease expires. */
     static Op putLeased(String key, ObjectNode value, long leaseId) {
       return new LeasedPut(key, value, leaseId);
     }
 
-    /** Removes the key. */
+    /** Creates a change that removes the key. */
     static Op remove(String key) {
       return new Remove(key);
     }
@@ -95,11 +95,11 @@
   private final StoreRequestQueue requests;
 
   /**
-   * Makes a client; nothing is sent yet.
+   * Creates a client; nothing is sent yet.
    *
    * @param address host and port of the store
-   * @param requestsPerSecond the store's request rate, of which one controller uses a share
-   * @param writesPerSecond the store's rate of changes, of which one controller uses a share
+   * @param requestsPerSecond the store's limit on requests, of which one controller uses a share
+   * @param writesPerSecond the store's limit on changes, of which one controller uses a share
    */
   public StoreClient(
       EventLoop loop,
@@ -110,7 +110,7 @@
     requests = new StoreRequestQueue(loop, http, address, requestsPerSecond, writesPerSecond);
   }
 
-  /** Whether enough of the write rate is left over for writes that nobody waits for. */
+  /** Returns whether enough of the write rate is unused for writes that nobody waits for. */
   public boolean hasSpareWriteRate() {
     return requests.hasSpareWriteRate();
   }
@@ -142,7 +142,7 @@
             return;
           }
           JsonNode page = Json.read(reply.body());
-          // A watch from the first page's revision misses nothing of the later pages.
+          // A watch from the first page's revision reports changes made while later pages are read.
           long revision = page.path("epoch").asLong();
           continueListing(
               prefix, "", page, new ListResult.Listed(new ArrayList<>(), revision), onListed);
@@ -192,8 +192,8 @@
   }
 
   /**
-   * Applies the changes in one transaction if every key of {@code conditions} has the revision
-   * stated there, 0 meaning that it must not exist. It is applied at most once.
+   * Applies the changes in one transaction, at most once, if every key of {@code conditions} has
+   * the revision stated there. Revision 0 requires that the key does not exist.
    */
   public void transact(
       Map<String, Long> conditions,
@@ -242,7 +242,7 @@
     };
   }
 
-  /** Asks for a lease of {@code ttlMs} milliseconds. */
+  /** Requests a lease of {@code ttlMs} milliseconds. */
   public void createLease(int ttlMs, Consumer<LeaseGrant> onAnswer) {
     byte[] body = Json.bytes(Json.object().put("ttl_ms", ttlMs));
     requests.send(
@@ -251,12 +251,12 @@
   }
 
   private static LeaseGrant leaseGrant(Reply reply) {
-    // Lease ids start at 1: an answer without one grants nothing.
+    // Lease ids start at 1, so 0 means that the answer contains none.
     long leaseId = reply.ok() ? Json.read(reply.body()).path("permit").asLong() : 0;
     return leaseId == 0 ? new LeaseGrant.Unavailable() : new LeaseGrant.Granted(leaseId);
   }
 
-  /** Renews a lease; the store counts its time from when it handles the request. */
+  /** Renews a lease; its time to live restarts when the store handles the request. */
   public void renewLease(long leaseId, Consumer<LeaseRenewal> onAnswer) {
     requests.send(
         Request.post(
@@ -277,8 +277,8 @@
   }
 
   /**
-   * Waits for changes under a prefix after {@code sinceRevision}; the store answers at the latest
-   * after {@link ClusterConstants#WATCH_BLOCK_MS}.
+   * Waits for changes under a prefix after {@code sinceRevision}. The store answers after {@link
+   * ClusterConstants#WATCH_BLOCK_MS} at the latest.
    */
   public void watch(String prefix, long sinceRevision, Consumer<WatchResult> onAnswer) {
     String path =
--- a/src/main/java/org/sandford/store/StoreRequestQueue.java
+++ b/src/main/java/org/sandford/store/StoreRequestQueue.java
@@ -12,15 +12,15 @@
 import org.sandford.store.StoreClient.Priority;
 
 /**
- * Sends requests to the store within this controller's share of the store's rates, those of higher
- * priority first. A request that the store refuses for its rate alone was not carried out and is
- * sent again. Runs on the event loop.
+ * Sends requests to the store within this controller's share of the store's rate limits, in order
+ * of priority. A request that the store rejects for its rate was not executed and is sent again.
+ * Runs on the event loop.
  */
 final class StoreRequestQueue {
   /**
    * One HTTP request.
    *
-   * @param writeOps the changes in it, which count against the store's write rate
+   * @param writeOps the number of changes in it, which count against the write rate
    * @param body the body, or null for none
    * @param timeoutMs milliseconds to wait for the answer
    */
@@ -50,11 +50,11 @@
   private boolean sendScheduled;
 
   /**
-   * Makes an empty queue.
+   * Creates an empty queue.
    *
    * @param address host and port of the store
-   * @param requestsPerSecond the store's request rate, of which one controller uses a share
-   * @param writesPerSecond the store's rate of changes, of which one controller uses a share
+   * @param requestsPerSecond the store's limit on requests, of which one controller uses a share
+   * @param writesPerSecond the store's limit on changes, of which one controller uses a share
    */
   StoreRequestQueue(
       EventLoop loop,
@@ -75,12 +75,12 @@
     }
   }
 
-  /** Whether enough of the write rate is left over for writes that nobody waits for. */
+  /** Returns whether enough of the write rate is unused for writes that nobody waits for. */
   boolean hasSpareWriteRate() {
     return writeRate.holds(writeRate.most() * StoreConstants.SPARE_WRITE_RATE_SHARE);
   }
 
-  /** Sends the request when its turn comes; {@code onReply} runs exactly once, on the loop. */
+  /** Queues the request; {@code onReply} runs exactly once, on the event loop. */
   void send(Request request, Consumer<Reply> onReply) {
     send(request, onReply, StoreConstants.STORE_MAX_ATTEMPTS);
   }
@@ -88,7 +88,7 @@
   private void send(Request request, Consumer<Reply> onReply, int attemptsLeft) {
     ArrayDeque<QueuedRequest> queue = queues.get(request.priority);
     if (request.priority == Priority.READ && queue.size() >= maxQueuedReads) {
-      // Whoever reads does not wait as long as it would take: the read fails at once.
+      // Its caller would give up before the read is sent, so the read fails at once.
       loop.execute(() -> onReply.accept(NOT_SENT));
       return;
     }
@@ -120,14 +120,14 @@
       ArrayDeque<QueuedRequest> queue = queues.get(priority);
       while (!queue.isEmpty()) {
         QueuedRequest head = queue.peekFirst();
-        // Renewals are never held up by our own accounting: a lost session lease costs a failover.
+        // Renewals ignore the rate limits: a lost session lease causes a failover.
         if (priority != Priority.RENEWAL) {
           if (!requestRate.allows(1)) {
             sendQueuedAfter(requestRate.waitMillis(1));
             return;
           }
           if (head.writeOps > 0 && !writeRate.allows(head.writeOps)) {
-            // Reads behind it need not wait for the write rate.
+            // Reads of lower priority need not wait for the write rate.
             writeRateWaitMs = Math.min(writeRateWaitMs, writeRate.waitMillis(head.writeOps));
             break;
           }
--- a/src/main/java/org/sandford/store/package-info.java
+++ b/src/main/java/org/sandford/store/package-info.java
@@ -3,13 +3,13 @@
  *
  * <p><b>Duty.</b> {@link org.sandford.store.StoreClient} maps the store's protocol to reads,
  * compare-and-swap transactions, leases and watches; {@link org.sandford.store.StoreRequestQueue}
- * keeps them within the store's rates; {@link org.sandford.store.RecordWriter} commits job records
- * in groups; {@link org.sandford.store.OpenJobReader} lists the open jobs.
+ * sends the requests within the store's rate limits; {@link org.sandford.store.RecordWriter}
+ * commits job records in groups; {@link org.sandford.store.OpenJobReader} lists the open jobs.
  *
- * <p><b>Owned state.</b> Requests that wait or are under way. Nothing is cached.
+ * <p><b>Owned state.</b> Requests that are queued or in flight. Nothing is cached.
  *
  * <p><b>Thread.</b> Everything runs on the event loop; callbacks run there exactly once. Failures
- * are values: an outcome that is unknown is told apart from a refusal.
+ * are result values, which distinguish an unknown outcome from a refusal.
  *
  * <p><b>Callers.</b> The packages {@code cluster}, {@code job} and {@code machine}.
  */
--- a/src/test/java/org/sandford/audit/AuditLogTest.java
+++ b/src/test/java/org/sandford/audit/AuditLogTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The counters, and what an answer's basis says in the log. */
+/** Tests the counters, and the log fields of an answer's provenance. */
 class AuditLogTest {
   @Test
   void countsEachKindOfDecision() {
--- a/src/test/java/org/sandford/store/StoreClientResultsTest.java
+++ b/src/test/java/org/sandford/store/StoreClientResultsTest.java
@@ -21,7 +21,7 @@
 import org.sandford.store.StoreClient.Priority;
 import org.sandford.store.StoreClient.TransactionResult;
 
-/** Which result each answer of the store gives. */
+/** Tests which result each answer of the store yields. */
 class StoreClientResultsTest {
   private final List<String> paths = new ArrayList<>();
   private final Deque<Reply> replies = new ArrayDeque<>();
--- a/src/test/java/org/sandford/store/StoreClientTest.java
+++ b/src/test/java/org/sandford/store/StoreClientTest.java
@@ -13,21 +13,21 @@
 import org.sandford.store.StoreClient.Op;
 import org.sandford.store.StoreClient.Priority;
 
-/** What happens to requests beyond the store's rates. */
+/** Tests requests beyond the store's rate limits. */
 class StoreClientTest {
   private static final double RPS = 100;
   private static final int REQUEST_COUNT = 1_000;
 
   private final List<String> sent = new ArrayList<>();
 
-  /** Time stands still, so that nothing leaves beyond the first burst. */
+  /** The clock does not advance, so only the first burst is sent. */
   private final EventLoop loop = new ManualEventLoop();
 
   private final HttpTransport http =
       (address, method, path, body, timeoutMs, onReply) -> sent.add(path);
   private final StoreClient store = new StoreClient(loop, http, "store:1", RPS, RPS);
 
-  /** Without a bound, reads would wait behind others whose callers have given up. */
+  /** Without a bound, reads would queue behind others whose callers have given up. */
   @Test
   void readsThatWouldWaitTooLongFailAtOnce() {
     List<ReadResult> results = new ArrayList<>();
@@ -37,8 +37,8 @@
     int queued = REQUEST_COUNT - sent.size() - results.size();
     assertTrue(
         results.stream().allMatch(ReadResult.Unavailable.class::isInstance),
-        "nothing is known of them");
-    assertTrue(queued <= RPS, queued + " reads wait");
+        "reads that are not sent are unavailable");
+    assertTrue(queued <= RPS, queued + " reads are queued");
     assertTrue(!results.isEmpty() && !sent.isEmpty());
   }
 
