--- a/src/main/java/org/sandford/cloud/CloudClient.java
+++ b/src/main/java/org/sandford/cloud/CloudClient.java
@@ -40,7 +40,7 @@
   public enum ProvisionOutcome {
     /** Executed; fewer machines than requested may have been provisioned. */
     PROVISIONED,
-    /** The cloud has no more machines of this kind for now. */
+    /** The cloud has no more machines of this instance type for now. */
     NO_CAPACITY,
     /** Certainly not executed; it may be sent again later. */
     NOT_EXECUTED,
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Reads the instance types; returns null if they could not be read or there are none. */
+  /** Reads the instance types; the result is null if they could not be read or there are none. */
   public void instanceTypes(Consumer<List<InstanceType>> onResult) {
     enqueue(
         () ->
@@ -157,7 +157,7 @@
                 }));
   }
 
-  /** Decommissions machines; returns true only if the cloud confirms that they are gone. */
+  /** Decommissions machines; the result is true only if the cloud confirms that they are gone. */
   public void decommission(List<String> machines, Consumer<Boolean> onResult) {
     ObjectNode request = Json.object();
     ArrayNode hosts = request.putArray("hosts");
@@ -173,7 +173,7 @@
                 reply -> onResult.accept(reply.ok())));
   }
 
-  /** Reads the whole machine list, page by page; returns null if a page could not be read. */
+  /** Reads the whole machine list, page by page; the result is null if a page could not be read. */
   public void list(Consumer<List<ListedInstance>> onResult) {
     listFrom("", new ArrayList<>(), onResult);
   }
--- a/src/main/java/org/sandford/constants/JobConstants.java
+++ b/src/main/java/org/sandford/constants/JobConstants.java
@@ -11,7 +11,7 @@
    */
   public static final int PROGRESS_WRITE_MS = 8_000;
 
-  /** Minimum milliseconds between planning rounds; changes meanwhile share a round. */
+  /** Minimum milliseconds between planning rounds; changes in between share the next one. */
   public static final int PLAN_INTERVAL_MS = 40;
 
   /** Maximum share of the event loop's time for planning; heartbeats and users need the rest. */
