--- a/src/test/java/org/sandford/store/StoreClientResultsTest.java
+++ b/src/test/java/org/sandford/store/StoreClientResultsTest.java
@@ -33,7 +33,7 @@
   private final StoreClient store =
       new StoreClient(new ManualEventLoop(), http, "store:1", 100, 100);
 
-  private void answer(int status, String body) {
+  private void enqueueReply(int status, String body) {
     replies.add(new Reply(status, body.getBytes(StandardCharsets.UTF_8)));
   }
 
@@ -48,21 +48,22 @@
   }
 
   @Test
-  void readTellsAbsentFromUnavailable() {
-    answer(200, "{\"v\":{\"n\":1},\"stamp\":7}");
+  void readDistinguishesAbsentFromUnavailable() {
+    enqueueReply(200, "{\"v\":{\"n\":1},\"stamp\":7}");
     assertEquals(new ReadResult.Found(new Entry("job/wk-1", json("{\"n\":1}"), 7)), read());
-    answer(404, "{}");
+    enqueueReply(404, "{}");
     assertEquals(new ReadResult.Absent(), read());
-    answer(503, "{}");
+    enqueueReply(503, "{}");
     assertEquals(new ReadResult.Unavailable(), read());
-    answer(Reply.UNKNOWN, "");
+    enqueueReply(Reply.UNKNOWN, "");
     assertEquals(new ReadResult.Unavailable(), read());
   }
 
   @Test
-  void listJoinsPagesUnderTheFirstPagesRevision() {
-    answer(200, "{\"entries\":[{\"k\":\"job/a\",\"v\":{},\"stamp\":3}],\"more\":true,\"epoch\":9}");
-    answer(
+  void listHasAllPagesAndTheRevisionOfTheFirst() {
+    enqueueReply(
+        200, "{\"entries\":[{\"k\":\"job/a\",\"v\":{},\"stamp\":3}],\"more\":true,\"epoch\":9}");
+    enqueueReply(
         200, "{\"entries\":[{\"k\":\"job/b\",\"v\":{},\"stamp\":12}],\"more\":false,\"epoch\":14}");
     List<ListResult> results = new ArrayList<>();
     store.list("job/", results::add);
@@ -74,8 +75,9 @@
 
   @Test
   void listIsUnavailableWhenAnyPageIs() {
-    answer(200, "{\"entries\":[{\"k\":\"job/a\",\"v\":{},\"stamp\":3}],\"more\":true,\"epoch\":9}");
-    answer(503, "{}");
+    enqueueReply(
+        200, "{\"entries\":[{\"k\":\"job/a\",\"v\":{},\"stamp\":3}],\"more\":true,\"epoch\":9}");
+    enqueueReply(503, "{}");
     List<ListResult> results = new ArrayList<>();
     store.list("job/", results::add);
     assertEquals(List.of(new ListResult.Unavailable()), results);
@@ -89,7 +91,7 @@
 
   @Test
   void watchGivesTheLatestChangeOfEachKey() {
-    answer(
+    enqueueReply(
         200,
         "{\"epoch\":9,\"log\":["
             + "{\"put\":\"c/a\",\"v\":{},\"stamp\":6},"
@@ -102,31 +104,31 @@
   }
 
   @Test
-  void watchTellsMissedChangesFromUnavailable() {
-    answer(410, "{}");
+  void watchDistinguishesCompactedFromUnavailable() {
+    enqueueReply(410, "{}");
     assertEquals(new WatchResult.Compacted(), watch());
-    answer(Reply.UNKNOWN, "");
+    enqueueReply(Reply.UNKNOWN, "");
     assertEquals(new WatchResult.Unavailable(), watch());
   }
 
   @Test
   void leaseIsGrantedOnlyWithAnId() {
     List<LeaseGrant> results = new ArrayList<>();
-    answer(200, "{\"permit\":7}");
+    enqueueReply(200, "{\"permit\":7}");
     store.createLease(3_000, results::add);
-    answer(503, "{}");
+    enqueueReply(503, "{}");
     store.createLease(3_000, results::add);
     assertEquals(List.of(new LeaseGrant.Granted(7), new LeaseGrant.Unavailable()), results);
   }
 
   @Test
-  void renewalTellsExpiryFromAnUnknownOutcome() {
+  void renewalDistinguishesExpiryFromUnconfirmed() {
     List<LeaseRenewal> results = new ArrayList<>();
-    answer(200, "{}");
+    enqueueReply(200, "{}");
     store.renewLease(7, results::add);
-    answer(404, "{}");
+    enqueueReply(404, "{}");
     store.renewLease(7, results::add);
-    answer(Reply.UNKNOWN, "");
+    enqueueReply(Reply.UNKNOWN, "");
     store.renewLease(7, results::add);
     assertEquals(
         List.of(
@@ -137,13 +139,13 @@
   }
 
   @Test
-  void transactionTellsConflictRefusalAndUnknownOutcome() {
+  void transactionDistinguishesConflictRefusalAndUnknown() {
     List<TransactionResult> results = new ArrayList<>();
-    answer(200, "{\"epoch\":4}");
-    answer(409, "{\"epoch\":5,\"failed\":[\"c/a\"]}");
-    answer(503, "{}");
-    answer(Reply.NOT_SENT, "");
-    answer(Reply.UNKNOWN, "");
+    enqueueReply(200, "{\"epoch\":4}");
+    enqueueReply(409, "{\"epoch\":5,\"failed\":[\"c/a\"]}");
+    enqueueReply(503, "{}");
+    enqueueReply(Reply.NOT_SENT, "");
+    enqueueReply(Reply.UNKNOWN, "");
     for (int i = 0; i < 5; i++) {
       store.transact(Map.of(), List.of(Op.remove("c/a")), Priority.RECORD, results::add);
     }
