--- a/src/main/java/org/sandford/model/TaskId.java
+++ b/src/main/java/org/sandford/model/TaskId.java
@@ -9,15 +9,15 @@
 public record TaskId(String job, int task) implements Comparable<TaskId> {
   private static final char SEPARATOR = '/';
 
-  /** Parses the protocol form {@code job/number}; null when the text is not of that form. */
-  public static TaskId read(String wire) {
-    int separator = wire.lastIndexOf(SEPARATOR);
+  /** Parses the protocol form {@code job/number}; returns null for any other text. */
+  public static TaskId read(String text) {
+    int separator = text.lastIndexOf(SEPARATOR);
     if (separator <= 0) {
       return null;
     }
     try {
-      int task = Integer.parseInt(wire.substring(separator + 1));
-      return new TaskId(wire.substring(0, separator), task);
+      int task = Integer.parseInt(text.substring(separator + 1));
+      return new TaskId(text.substring(0, separator), task);
     } catch (NumberFormatException malformed) {
       return null;
     }
@@ -29,7 +29,7 @@
     return byJob != 0 ? byJob : Integer.compare(task, other.task);
   }
 
-  /** The protocol form {@code job/number}. */
+  /** Returns the protocol form {@code job/number}. */
   @Override
   public String toString() {
     return job + SEPARATOR + task;
--- a/src/main/java/org/sandford/store/RecordWriter.java
+++ b/src/main/java/org/sandford/store/RecordWriter.java
@@ -19,30 +19,30 @@
 import org.sandford.store.StoreClient.TransactionResult;
 
 /**
- * Group commit of job records: independent compare-and-swap writes share one transaction, as many
- * as the store's limits allow. A write whose condition fails is handed back; the others of its
- * transaction are sent again, since a transaction with a conflict was not applied. Runs on the
- * event loop.
+ * Group commit of job records: a transaction contains as many independent compare-and-swap writes
+ * as the store's limits allow. If a condition fails, the store applies none of them. The write with
+ * the failed condition then gets the conflict, and the others are sent again. Runs on the event
+ * loop.
  */
 public final class RecordWriter {
-  /** What a write is for; the earlier constant is written first. */
+  /** The purpose of a write, in the order in which writes are sent. */
   public enum WriteKind {
-    /** A terminal state: an abort is answered, and exits are acknowledged, only after it. */
+    /** A job's terminal state; aborts are answered and exits acknowledged once it is stored. */
     TERMINAL_STATE,
-    /** A new job, whose user waits. */
+    /** A new job, whose user waits for the answer. */
     NEW_JOB,
-    /** Finished tasks of an open job, which nobody waits for. */
+    /** Changes that nobody waits for, such as finished tasks of an open job. */
     PROGRESS
   }
 
   /**
    * One independent write.
    *
-   * @param conditions the revisions that its keys must have
-   * @param ops what it changes
-   * @param kind what it is for
-   * @param onSent runs when it is put into a transaction: from then on it may be applied
-   * @param onResult gets the result of the transaction
+   * @param conditions the required revision of each key
+   * @param ops the changes
+   * @param kind its purpose
+   * @param onSent runs whenever it is put into a transaction; from then on it may be applied
+   * @param onResult receives the result of the transaction
    */
   public record Write(
       Map<String, Long> conditions,
@@ -50,7 +50,7 @@
       WriteKind kind,
       Runnable onSent,
       Consumer<TransactionResult> onResult) {
-    /** A write of which the caller need not know when it is sent. */
+    /** Creates a write whose caller need not know when it is sent. */
     public Write(
         Map<String, Long> conditions,
         List<Op> ops,
@@ -65,22 +65,21 @@
   private final int maxOps;
   private final EnumMap<WriteKind, ArrayDeque<Write>> queues = new EnumMap<>(WriteKind.class);
 
-  /**
-   * Transactions with terminal states and new jobs that are not answered, and the writes in them.
-   */
+  /** Unanswered transactions with terminal states and new jobs. */
   private int transactionsInFlight;
 
+  /** The writes in these transactions. */
   private int unansweredWrites;
 
-  /** Progress is under way, or waits for a spare write rate. */
-  private boolean progressWriteScheduled;
+  /** Whether a progress write is in flight or waits for spare write rate. */
+  private boolean progressWritePending;
 
   private boolean flushScheduled;
 
   /**
-   * Makes a writer with nothing to write.
+   * Creates a writer without pending writes.
    *
-   * @param maxOps changes in one transaction at the most
+   * @param maxOps the maximum number of changes in one transaction
    */
   public RecordWriter(EventLoop loop, StoreClient store, int maxOps) {
     this.loop = loop;
@@ -91,7 +90,7 @@
     }
   }
 
-  /** Writes that somebody waits for and that are not answered yet. */
+  /** Returns the number of terminal states and new jobs that are queued or unanswered. */
   public int backlog() {
     return unsentUrgentWrites() + unansweredWrites;
   }
@@ -100,13 +99,13 @@
     return queues.get(WriteKind.TERMINAL_STATE).size() + queues.get(WriteKind.NEW_JOB).size();
   }
 
-  /** Sends the write with the next transactions; its result arrives exactly once. */
+  /** Queues the write for the next transactions; its result arrives exactly once. */
   public void write(Write write) {
     queues.get(write.kind).addLast(write);
     flushSoon();
   }
 
-  /** Withdraws a write that has not been sent; returns whether it will not be. */
+  /** Removes the write from its queue; returns false if it is in flight or answered. */
   public boolean withdraw(Write write) {
     return queues.get(write.kind).remove(write);
   }
@@ -126,7 +125,7 @@
     while (transactionsInFlight < StoreConstants.MAX_TXNS_IN_FLIGHT && unsentUrgentWrites() > 0) {
       sendUrgentWrites();
     }
-    if (!progressWriteScheduled && !queues.get(WriteKind.PROGRESS).isEmpty()) {
+    if (!progressWritePending && !queues.get(WriteKind.PROGRESS).isEmpty()) {
       sendProgressWrites();
     }
   }
@@ -136,82 +135,86 @@
     Batch batch = new Batch(maxOps);
     batch.takeFrom(queues.get(WriteKind.TERMINAL_STATE));
     batch.takeFrom(queues.get(WriteKind.NEW_JOB));
-    int number = batch.writes.size();
+    int writeCount = batch.writes.size();
     transactionsInFlight++;
-    unansweredWrites += number;
+    unansweredWrites += writeCount;
     send(
         batch.writes,
         hasTerminalStates ? Priority.MAP : Priority.RECORD,
         () -> {
           transactionsInFlight--;
-          unansweredWrites -= number;
+          unansweredWrites -= writeCount;
         });
   }
 
-  /** Writes progress, one transaction at a time, where the write rate is far from used up. */
+  /** Sends progress, one transaction at a time, while enough of the write rate is unused. */
   private void sendProgressWrites() {
-    progressWriteScheduled = true;
+    progressWritePending = true;
     if (store.hasSpareWriteRate()) {
       Batch batch = new Batch(maxOps);
       batch.takeFrom(queues.get(WriteKind.PROGRESS));
-      send(batch.writes, Priority.RECORD, () -> progressWriteScheduled = false);
+      send(batch.writes, Priority.RECORD, () -> progressWritePending = false);
       return;
     }
     loop.after(
         StoreConstants.STORE_RETRY_MS,
         () -> {
-          progressWriteScheduled = false;
+          progressWritePending = false;
           flush();
         });
   }
 
-  /** Writes for one transaction, within the store's limits, that name no key twice. */
+  /** Writes for one transaction, within the store's limits and with no key changed twice. */
   private static final class Batch {
     private final int maxOps;
     private final List<Write> writes = new ArrayList<>();
     private final Set<String> keys = new HashSet<>();
-    private int ops;
-    private int bytes;
+    private int opCount;
+    private int totalBytes;
 
     Batch(int maxOps) {
       this.maxOps = maxOps;
     }
 
-    /** Moves writes from the queue into the batch, in order, until one exceeds the limits. */
+    /**
+     * Moves writes from the queue into the batch, in order, until one exceeds the limits. Leaves
+     * writes in the queue that change a key of the batch.
+     */
     void takeFrom(ArrayDeque<Write> queue) {
       for (Iterator<Write> it = queue.iterator(); it.hasNext(); ) {
         Write write = it.next();
-        int size = Json.bytes(StoreClient.txnBody(write.conditions, write.ops)).length;
-        if (!writes.isEmpty() && exceedsLimits(write, size)) {
+        int writeBytes = Json.bytes(StoreClient.txnBody(write.conditions, write.ops)).length;
+        if (!writes.isEmpty() && exceedsLimits(write, writeBytes)) {
           return;
         }
         if (write.ops.stream().noneMatch(op -> keys.contains(op.key()))) {
           it.remove();
-          add(write, size);
+          add(write, writeBytes);
         }
       }
     }
 
-    private boolean exceedsLimits(Write write, int size) {
-      return ops + write.ops.size() > maxOps || bytes + size > StoreConstants.STORE_TXN_MAX_BYTES;
+    private boolean exceedsLimits(Write write, int writeBytes) {
+      return opCount + write.ops.size() > maxOps
+          || totalBytes + writeBytes > StoreConstants.STORE_TXN_MAX_BYTES;
     }
 
-    private void add(Write write, int size) {
+    private void add(Write write, int writeBytes) {
       writes.add(write);
       write.ops.forEach(op -> keys.add(op.key()));
-      ops += write.ops.size();
-      bytes += size;
+      opCount += write.ops.size();
+      totalBytes += writeBytes;
     }
   }
 
-  /** Sends the writes whose conditions agree; the others wait for the next transaction. */
+  /** Sends the writes with compatible conditions; requeues the others for the next transaction. */
   private void send(List<Write> batch, Priority priority, Runnable onAnswered) {
     Map<String, Long> conditions = new LinkedHashMap<>();
     List<Op> ops = new ArrayList<>();
     List<Write> sent = new ArrayList<>();
     List<Write> postponed = new ArrayList<>();
     for (Write write : batch) {
-      if (agree(conditions, write.conditions)) {
+      if (isCompatible(conditions, write.conditions)) {
         conditions.putAll(write.conditions);
         ops.addAll(write.ops);
         sent.add(write);
@@ -227,14 +230,14 @@
         priority,
         result -> {
           onAnswered.run();
-          finish(sent, result);
+          deliverResults(sent, result);
           flushSoon();
         });
   }
 
-  /** Whether no key has different revisions in both. */
-  private static boolean agree(Map<String, Long> conditions, Map<String, Long> more) {
-    return more.entrySet().stream()
+  /** Returns whether no key is required at two different revisions. */
+  private static boolean isCompatible(Map<String, Long> conditions, Map<String, Long> added) {
+    return added.entrySet().stream()
         .allMatch(
             condition ->
                 conditions
@@ -242,8 +245,8 @@
                     .equals(condition.getValue()));
   }
 
-  /** Hands back the results; of a conflict's writes only those whose own conditions failed. */
-  private void finish(List<Write> batch, TransactionResult result) {
+  /** Delivers the result; after a conflict, requeues writes whose own conditions held. */
+  private void deliverResults(List<Write> batch, TransactionResult result) {
     if (result.outcome() != Outcome.CONFLICT) {
       batch.forEach(write -> write.onResult.accept(result));
       return;
--- a/src/test/java/org/sandford/audit/AuditLogTest.java
+++ b/src/test/java/org/sandford/audit/AuditLogTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The counters, and what an answer's basis says in the log. */
+/** Tests the counters, and the log fields of an answer's provenance. */
 class AuditLogTest {
   @Test
   void countsEachKindOfDecision() {
@@ -18,10 +18,10 @@
   }
 
   @Test
-  void detailsAreKeysWithValuesWithoutSpaces() {
-    assertEquals("session=c0#1 generation=7", new Provenance.OwnerMemory("c0#1", 7).detail());
-    assertEquals("revision=412", new Provenance.StoreRead(412).detail());
-    assertEquals("owner=c2", new Provenance.Forwarded("c2").detail());
-    assertEquals("", new Provenance.None().detail());
+  void logFieldsAreKeyValuePairsWithoutSpaces() {
+    assertEquals("session=c0#1 generation=7", new Provenance.OwnerMemory("c0#1", 7).logFields());
+    assertEquals("revision=412", new Provenance.StoreRead(412).logFields());
+    assertEquals("owner=c2", new Provenance.Forwarded("c2").logFields());
+    assertEquals("", new Provenance.None().logFields());
   }
 }
