--- a/src/main/java/org/sandford/api/Api.java
+++ b/src/main/java/org/sandford/api/Api.java
@@ -50,8 +50,8 @@
   }
 
   /** Times from a submission's arrival here to its answer, in milliseconds. */
-  public Histogram submitMillis() {
-    return userAnswers.submitMillis();
+  public Histogram submissionMillis() {
+    return userAnswers.submissionMillis();
   }
 
   /**
@@ -84,10 +84,13 @@
     return query < 0 ? uri : uri.substring(0, query);
   }
 
-  private void routeJob(String method, String rest, Consumer<ApiResponse> answer) {
-    boolean cancel = rest.endsWith(CANCEL_SUFFIX);
-    String id = cancel ? rest.substring(0, rest.length() - CANCEL_SUFFIX.length()) : rest;
-    if (!JobParser.isId(id)) {
+  private void routeJob(String method, String idAndSuffix, Consumer<ApiResponse> answer) {
+    boolean cancel = idAndSuffix.endsWith(CANCEL_SUFFIX);
+    String id =
+        cancel
+            ? idAndSuffix.substring(0, idAndSuffix.length() - CANCEL_SUFFIX.length())
+            : idAndSuffix;
+    if (!JobParser.isJobId(id)) {
       answer.accept(ApiResponse.refuse(HttpStatus.NOT_FOUND, "no job has this id"));
     } else if (cancel) {
       allowOnly("POST", method, answer, () -> cancel(id, answer));
@@ -107,26 +110,26 @@
     }
   }
 
-  private void submit(JsonNode body, Consumer<ApiResponse> user) {
-    String id = JobParser.idOf(body);
-    submissions.handle(body, userAnswers.receiver(UserRequestKind.SUBMIT, id, user));
+  private void submit(JsonNode body, Consumer<ApiResponse> answer) {
+    String id = JobParser.validIdOrEmpty(body);
+    submissions.handle(body, userAnswers.guardedReceiver(UserRequestKind.SUBMIT, id, answer));
   }
 
-  private void poll(String id, Consumer<ApiResponse> user) {
-    polls.handle(id, userAnswers.receiver(UserRequestKind.POLL, id, user));
+  private void poll(String id, Consumer<ApiResponse> answer) {
+    polls.handle(id, userAnswers.guardedReceiver(UserRequestKind.POLL, id, answer));
   }
 
-  private void cancel(String id, Consumer<ApiResponse> user) {
-    cancellations.handle(id, userAnswers.receiver(UserRequestKind.CANCEL, id, user));
+  private void cancel(String id, Consumer<ApiResponse> answer) {
+    cancellations.handle(id, userAnswers.guardedReceiver(UserRequestKind.CANCEL, id, answer));
   }
 
   /** Handles a request that another controller forwarded to this one. */
-  public void called(ForwardedRequest request, Consumer<Object> reply) {
+  public void handleForwardedRequest(ForwardedRequest request, Consumer<Object> reply) {
     forwarding.handleRequest(request, reply);
   }
 
   /** Handles another controller's response to a request that was forwarded from here. */
-  public void answered(ForwardedResponse response) {
+  public void handleForwardedResponse(ForwardedResponse response) {
     forwarding.handleResponse(response);
   }
 }
--- a/src/main/java/org/sandford/api/CancellationHandler.java
+++ b/src/main/java/org/sandford/api/CancellationHandler.java
@@ -33,18 +33,18 @@
     }
     String team = jobReader.teamOf(id);
     if (team != null) {
-      haveOwnerCancel(id, team, answer);
+      cancelAtOwner(id, team, answer);
     } else {
-      jobReader.read(id, found -> handleRead(id, found, answer));
+      jobReader.read(id, result -> answerFromRead(id, result, answer));
     }
   }
 
-  private void handleRead(String id, JobReadResult found, Consumer<ApiResponse> answer) {
-    if (found instanceof JobReadResult.Terminal) {
+  private void answerFromRead(String id, JobReadResult result, Consumer<ApiResponse> answer) {
+    if (result instanceof JobReadResult.Terminal) {
       jobs.answers().ended(id).ifPresent(answer);
-    } else if (found instanceof JobReadResult.Open open) {
-      haveOwnerCancel(id, open.spec().team(), answer);
-    } else if (found instanceof JobReadResult.Absent) {
+    } else if (result instanceof JobReadResult.Open open) {
+      cancelAtOwner(id, open.spec().team(), answer);
+    } else if (result instanceof JobReadResult.Absent) {
       answer.accept(ApiResponse.refuse(HttpStatus.NOT_FOUND, "no job has this id"));
     } else {
       answer.accept(
@@ -53,7 +53,7 @@
     }
   }
 
-  private void haveOwnerCancel(String id, String team, Consumer<ApiResponse> answer) {
+  private void cancelAtOwner(String id, String team, Consumer<ApiResponse> answer) {
     forwarding.cancel(
         id,
         team,
--- a/src/main/java/org/sandford/api/FirstAnswer.java
+++ b/src/main/java/org/sandford/api/FirstAnswer.java
@@ -17,24 +17,24 @@
 
   FirstAnswer(EventLoop loop, int deadlineMs, Consumer<ApiResponse> receiver) {
     this.receiver = receiver;
-    this.deadline = loop.after(deadlineMs, this::deadlineExceeded);
+    this.deadline = loop.after(deadlineMs, this::answerDeadlineExceeded);
   }
 
   @Override
   public void accept(ApiResponse answer) {
     deadline.cancel();
-    passOn(answer);
+    deliverOnce(answer);
   }
 
-  private void deadlineExceeded() {
-    passOn(
+  private void answerDeadlineExceeded() {
+    deliverOnce(
         ApiResponse.later(
             HttpStatus.SERVICE_UNAVAILABLE,
             "no answer in time",
             ApiConstants.RETRY_AFTER_NO_AUTHORITY_S));
   }
 
-  private void passOn(ApiResponse answer) {
+  private void deliverOnce(ApiResponse answer) {
     if (!answered) {
       answered = true;
       receiver.accept(answer);
--- a/src/main/java/org/sandford/api/ForwardedRequestHandler.java
+++ b/src/main/java/org/sandford/api/ForwardedRequestHandler.java
@@ -25,7 +25,7 @@
   }
 
   /** Serves a request of another controller. */
-  void handleRemote(ForwardedRequest request, Consumer<Object> reply) {
+  void handleForwarded(ForwardedRequest request, Consumer<Object> reply) {
     handle(
         request,
         answer ->
@@ -63,14 +63,16 @@
 
   private void cancel(String id, Consumer<ApiResponse> answer) {
     if (!jobs.abort(id, answer)) {
-      jobs.answers().fromStore(id, found -> answer.accept(cancelUnknown(found)));
+      jobs.answers()
+          .fromStore(id, storeAnswer -> answer.accept(cancellationAnswerFor(storeAnswer)));
     }
   }
 
   /** A job that is open in the store but not known here is still being loaded. */
-  private static ApiResponse cancelUnknown(ApiResponse found) {
-    return found.status() == HttpStatus.NOT_FOUND || TerminalState.isTerminal(found.state())
-        ? found
+  private static ApiResponse cancellationAnswerFor(ApiResponse storeAnswer) {
+    return storeAnswer.status() == HttpStatus.NOT_FOUND
+            || TerminalState.isTerminal(storeAnswer.state())
+        ? storeAnswer
         : ApiResponse.later(
             HttpStatus.SERVICE_UNAVAILABLE,
             "the job's owner is not ready",
--- a/src/main/java/org/sandford/api/ForwardedSpec.java
+++ b/src/main/java/org/sandford/api/ForwardedSpec.java
@@ -8,19 +8,19 @@
 
 /** The form of a job in the body of a submission that is forwarded to another controller. */
 final class ForwardedSpec {
-  private static final String SPEC = "s";
+  private static final String SPEC_FIELD = "s";
 
   private ForwardedSpec() {}
 
   static ByteBuffer encode(JobSpec spec) {
     ObjectNode body = Json.object();
-    body.set(SPEC, spec.json());
+    body.set(SPEC_FIELD, spec.json());
     return ByteBuffer.wrap(Json.bytes(body));
   }
 
-  static JobSpec decode(ForwardedRequest submission) {
-    byte[] bytes = new byte[submission.body.remaining()];
-    submission.body.duplicate().get(bytes);
-    return JobSpec.read(submission.job, Json.read(bytes).path(SPEC));
+  static JobSpec decode(ForwardedRequest request) {
+    byte[] bytes = new byte[request.body.remaining()];
+    request.body.duplicate().get(bytes);
+    return JobSpec.read(request.job, Json.read(bytes).path(SPEC_FIELD));
   }
 }
--- a/src/main/java/org/sandford/api/JobFeasibility.java
+++ b/src/main/java/org/sandford/api/JobFeasibility.java
@@ -24,7 +24,7 @@
     if (team == null) {
       throw JobRejectedException.infeasible("there is no team " + job.team());
     }
-    if (instanceTypes.values().stream().noneMatch(type -> fitsTask(job, type))) {
+    if (instanceTypes.values().stream().noneMatch(type -> canHostTask(job, type))) {
       throw JobRejectedException.infeasible(
           "a task of this size fits no machine type that the job allows");
     }
@@ -35,7 +35,7 @@
     }
   }
 
-  private static boolean fitsTask(JobSpec job, InstanceType type) {
+  private static boolean canHostTask(JobSpec job, InstanceType type) {
     return (job.allowedInstanceTypes().isEmpty()
             || job.allowedInstanceTypes().contains(type.kind()))
         && (job.zone().isEmpty() || type.zones().contains(job.zone()))
@@ -44,12 +44,12 @@
 
   /** The tasks of a job array may run one after another; all others run at the same time. */
   private static void checkQuota(JobSpec job, Settings.Team team) throws JobRejectedException {
-    boolean allAtOnce = job.shape() != JobSpec.Shape.ARRAY;
-    int tasksAtOnce = allAtOnce ? job.tasks() : 1;
-    if (exceeds(tasksAtOnce * job.cpus(), team.cpusMax())
-        || exceeds(tasksAtOnce * job.gpus(), team.gpusMax())) {
+    boolean concurrent = job.shape() != JobSpec.Shape.ARRAY;
+    int concurrentTasks = concurrent ? job.tasks() : 1;
+    if (exceeds(concurrentTasks * job.cpus(), team.cpusMax())
+        || exceeds(concurrentTasks * job.gpus(), team.gpusMax())) {
       throw JobRejectedException.infeasible(
-          (allAtOnce ? "all tasks together need" : "one task needs")
+          (concurrent ? "all tasks together need" : "one task needs")
               + " more than the limit of team "
               + team.name()
               + " ("
--- a/src/main/java/org/sandford/api/JobParser.java
+++ b/src/main/java/org/sandford/api/JobParser.java
@@ -33,7 +33,7 @@
   private static final String CHECKPOINT_COST_S = "save_cost_s";
   private static final String DEADLINE_S = "due_s";
 
-  private static final Pattern ID_FORM = Pattern.compile("wk-[0-9]{1,40}");
+  private static final Pattern JOB_ID_PATTERN = Pattern.compile("wk-[0-9]{1,40}");
   private static final double MAX_AMOUNT = 1e12;
 
   /** A job without a deadline. */
@@ -45,14 +45,14 @@
   private JobParser() {}
 
   /** Whether the text has the form of a job id. */
-  static boolean isId(String id) {
-    return ID_FORM.matcher(id).matches();
+  static boolean isJobId(String id) {
+    return JOB_ID_PATTERN.matcher(id).matches();
   }
 
   /** The id of a body that may be malformed otherwise, or an empty text. */
-  static String idOf(JsonNode body) {
+  static String validIdOrEmpty(JsonNode body) {
     String id = body.path(ID).asText("");
-    return body.path(ID).isTextual() && isId(id) ? id : "";
+    return body.path(ID).isTextual() && isJobId(id) ? id : "";
   }
 
   /**
@@ -73,29 +73,29 @@
     double cpus = cpus(body);
     return new JobSpec(
         id,
-        text(body, JOB_CLASS),
-        text(body, TEAM),
+        nonEmptyText(body, JOB_CLASS),
+        nonEmptyText(body, TEAM),
         shape(body),
         rank(body),
         tasks(body),
         cpus,
-        amount(body, GPUS),
-        amount(body, RAM_GB),
+        nonNegativeNumber(body, GPUS),
+        nonNegativeNumber(body, RAM_GB),
         instanceTypes,
-        isNull(body, ZONE) ? ANY_ZONE : text(body, ZONE),
-        flag(body, SAME_ZONE),
-        flag(body, SPREAD_OVER_ZONES),
-        flag(body, SPOT_ALLOWED),
-        text(body, IMAGE),
-        amount(body, IMAGE_GB),
-        amount(body, EXPECTED_S),
-        amount(body, CHECKPOINT_INTERVAL_S),
-        amount(body, CHECKPOINT_COST_S),
-        isNull(body, DEADLINE_S) ? NO_DEADLINE : amount(body, DEADLINE_S));
+        isMissingOrNull(body, ZONE) ? ANY_ZONE : nonEmptyText(body, ZONE),
+        bool(body, SAME_ZONE),
+        bool(body, SPREAD_OVER_ZONES),
+        bool(body, SPOT_ALLOWED),
+        nonEmptyText(body, IMAGE),
+        nonNegativeNumber(body, IMAGE_GB),
+        nonNegativeNumber(body, EXPECTED_S),
+        nonNegativeNumber(body, CHECKPOINT_INTERVAL_S),
+        nonNegativeNumber(body, CHECKPOINT_COST_S),
+        isMissingOrNull(body, DEADLINE_S) ? NO_DEADLINE : nonNegativeNumber(body, DEADLINE_S));
   }
 
   /** Fields that may be null may be missing too. */
-  private static boolean isNull(JsonNode body, String field) {
+  private static boolean isMissingOrNull(JsonNode body, String field) {
     JsonNode value = body.path(field);
     return value.isMissingNode() || value.isNull();
   }
@@ -104,7 +104,7 @@
     return JobRejectedException.malformed(field + ": expected " + expected);
   }
 
-  private static String text(JsonNode body, String field) throws JobRejectedException {
+  private static String nonEmptyText(JsonNode body, String field) throws JobRejectedException {
     JsonNode value = body.path(field);
     if (!value.isTextual() || value.asText().isEmpty()) {
       throw invalid(field, "a text");
@@ -112,7 +112,7 @@
     return value.asText();
   }
 
-  private static double amount(JsonNode body, String field) throws JobRejectedException {
+  private static double nonNegativeNumber(JsonNode body, String field) throws JobRejectedException {
     JsonNode node = body.path(field);
     double value = node.asDouble();
     if (!node.isNumber() || !Double.isFinite(value) || value < 0 || value > MAX_AMOUNT) {
@@ -121,7 +121,7 @@
     return value;
   }
 
-  private static boolean flag(JsonNode body, String field) throws JobRejectedException {
+  private static boolean bool(JsonNode body, String field) throws JobRejectedException {
     JsonNode value = body.path(field);
     if (!value.isBoolean()) {
       throw invalid(field, "true or false");
@@ -130,15 +130,15 @@
   }
 
   private static String id(JsonNode body) throws JobRejectedException {
-    String id = text(body, ID);
-    if (!isId(id)) {
+    String id = nonEmptyText(body, ID);
+    if (!isJobId(id)) {
       throw invalid(ID, "a form like wk-000412, got " + id);
     }
     return id;
   }
 
   private static Set<String> instanceTypes(JsonNode body) throws JobRejectedException {
-    if (isNull(body, INSTANCE_TYPES)) {
+    if (isMissingOrNull(body, INSTANCE_TYPES)) {
       return Set.of();
     }
     JsonNode names = body.path(INSTANCE_TYPES);
@@ -156,7 +156,7 @@
   }
 
   private static double cpus(JsonNode body) throws JobRejectedException {
-    double cpus = amount(body, CPUS);
+    double cpus = nonNegativeNumber(body, CPUS);
     if (cpus <= 0) {
       throw invalid(CPUS, "more than 0");
     }
@@ -164,7 +164,7 @@
   }
 
   private static JobSpec.Shape shape(JsonNode body) throws JobRejectedException {
-    return switch (text(body, SHAPE)) {
+    return switch (nonEmptyText(body, SHAPE)) {
       case "array" -> JobSpec.Shape.ARRAY;
       case "standing" -> JobSpec.Shape.SERVICE;
       case "ensemble" -> JobSpec.Shape.GANG;
@@ -173,7 +173,7 @@
   }
 
   private static JobSpec.Rank rank(JsonNode body) throws JobRejectedException {
-    return switch (text(body, PRIORITY)) {
+    return switch (nonEmptyText(body, PRIORITY)) {
       case "production" -> JobSpec.Rank.PRODUCTION;
       case "urgent" -> JobSpec.Rank.URGENT;
       case "normal" -> JobSpec.Rank.NORMAL;
--- a/src/main/java/org/sandford/api/OwnerForwarding.java
+++ b/src/main/java/org/sandford/api/OwnerForwarding.java
@@ -35,7 +35,8 @@
   private static final ByteBuffer NO_BODY = ByteBuffer.allocate(0);
 
   /** A call that waits for the response of {@code owner}. */
-  private record PendingCall(String owner, Consumer<ApiResponse> answer, EventLoop.Timer timeout) {}
+  private record PendingCall(
+      String ownerLabel, Consumer<ApiResponse> answer, EventLoop.Timer timeout) {}
 
   private final EventLoop loop;
   private final String ownLabel;
@@ -44,7 +45,7 @@
   private final TerminalStates terminalStates;
   private final ForwardedRequestHandler localHandler;
   private final Map<Long, PendingCall> pendingCalls = new HashMap<>();
-  private long lastCall;
+  private long lastCallId;
 
   /**
    * @param ownLabel the label of this controller
@@ -66,61 +67,61 @@
   }
 
   /** Has the owner of the job's team accept a job. */
-  void submit(JobSpec spec, Consumer<ApiResponse> answer, Runnable unreachable) {
-    call(
+  void submit(JobSpec spec, Consumer<ApiResponse> answer, Runnable onUnreachable) {
+    forward(
         spec.team(),
         UserRequestKind.SUBMIT,
         spec.id(),
         ForwardedSpec.encode(spec),
         answer,
-        unreachable);
+        onUnreachable);
   }
 
   /** Asks the owner of the team for the state of a job. */
-  void poll(String id, String team, Consumer<ApiResponse> answer, Runnable unreachable) {
-    call(team, UserRequestKind.POLL, id, NO_BODY, answer, unreachable);
+  void poll(String id, String team, Consumer<ApiResponse> answer, Runnable onUnreachable) {
+    forward(team, UserRequestKind.POLL, id, NO_BODY, answer, onUnreachable);
   }
 
   /** Has the owner of the team cancel a job. */
-  void cancel(String id, String team, Consumer<ApiResponse> answer, Runnable unreachable) {
-    call(team, UserRequestKind.CANCEL, id, NO_BODY, answer, unreachable);
+  void cancel(String id, String team, Consumer<ApiResponse> answer, Runnable onUnreachable) {
+    forward(team, UserRequestKind.CANCEL, id, NO_BODY, answer, onUnreachable);
   }
 
-  private void call(
+  private void forward(
       String team,
       UserRequestKind kind,
       String id,
       ByteBuffer body,
       Consumer<ApiResponse> answer,
-      Runnable unreachable) {
-    ForwardedRequest request = new ForwardedRequest(++lastCall, kind.wireName(), id, body);
-    TeamAssignment owner = cluster.teams().of().get(team);
-    String ownerLabel = owner == null ? "" : Cluster.labelOf(owner.owner());
+      Runnable onUnreachable) {
+    ForwardedRequest request = new ForwardedRequest(++lastCallId, kind.wireName(), id, body);
+    TeamAssignment assignment = cluster.teams().of().get(team);
+    String ownerLabel = assignment == null ? "" : Cluster.labelOf(assignment.owner());
     if (ownerLabel.equals(ownLabel)) {
       localHandler.handle(request, answer);
     } else if (links.request(ownerLabel, request)) {
-      awaitResponse(request.call, ownerLabel, answer, unreachable);
+      awaitResponse(request.call, ownerLabel, answer, onUnreachable);
     } else {
-      unreachable.run();
+      onUnreachable.run();
     }
   }
 
   private void awaitResponse(
-      long call, String ownerLabel, Consumer<ApiResponse> answer, Runnable unreachable) {
+      long callId, String ownerLabel, Consumer<ApiResponse> answer, Runnable onUnreachable) {
     EventLoop.Timer timeout =
         loop.after(
             ApiConstants.FORWARD_TIMEOUT_MS,
             () -> {
-              if (pendingCalls.remove(call) != null) {
-                unreachable.run();
+              if (pendingCalls.remove(callId) != null) {
+                onUnreachable.run();
               }
             });
-    pendingCalls.put(call, new PendingCall(ownerLabel, answer, timeout));
+    pendingCalls.put(callId, new PendingCall(ownerLabel, answer, timeout));
   }
 
   /** Serves a request that another controller forwarded to this one. */
   void handleRequest(ForwardedRequest request, Consumer<Object> reply) {
-    localHandler.handleRemote(request, reply);
+    localHandler.handleForwarded(request, reply);
   }
 
   /** Takes the response of another controller; one that comes after the timeout is dropped. */
@@ -131,12 +132,15 @@
     }
     pending.timeout.cancel();
     JsonNode body = Json.read(response.body);
-    ObjectNode object = body.isObject() ? (ObjectNode) body : Json.object();
+    ObjectNode answerBody = body.isObject() ? (ObjectNode) body : Json.object();
     ApiResponse answer =
         new ApiResponse(
-            response.status, object, response.retryAfterS, new Provenance.Forwarded(pending.owner));
+            response.status,
+            answerBody,
+            response.retryAfterS,
+            new Provenance.Forwarded(pending.ownerLabel));
     if (answer.status() == HttpStatus.OK && TerminalState.isTerminal(answer.state())) {
-      terminalStates.put(object.path("name_id").asText(), TerminalState.of(answer.state()));
+      terminalStates.put(answerBody.path("name_id").asText(), TerminalState.of(answer.state()));
     }
     pending.answer.accept(answer);
   }
--- a/src/main/java/org/sandford/api/PollHandler.java
+++ b/src/main/java/org/sandford/api/PollHandler.java
@@ -32,9 +32,9 @@
 
   /** Handles a poll for the job of a well-formed id. */
   void handle(String id, Consumer<ApiResponse> answer) {
-    Optional<ApiResponse> known = jobAnswers.fromMemory(id);
-    if (known.isPresent()) {
-      answer.accept(known.get());
+    Optional<ApiResponse> answerFromMemory = jobAnswers.fromMemory(id);
+    if (answerFromMemory.isPresent()) {
+      answer.accept(answerFromMemory.get());
       return;
     }
     String team = jobReader.teamOf(id);
--- a/src/main/java/org/sandford/api/SubmissionHandler.java
+++ b/src/main/java/org/sandford/api/SubmissionHandler.java
@@ -21,7 +21,7 @@
 public final class SubmissionHandler {
   private final Settings settings;
   private final Autoscaler autoscaler;
-  private final RecordVersions versions;
+  private final RecordVersions recordVersions;
   private final JobScheduler jobs;
   private final JobReader jobReader;
   private final OwnerForwarding forwarding;
@@ -30,13 +30,13 @@
   public SubmissionHandler(
       Settings settings,
       Autoscaler autoscaler,
-      RecordVersions versions,
+      RecordVersions recordVersions,
       JobScheduler jobs,
       JobReader jobReader,
       OwnerForwarding forwarding) {
     this.settings = settings;
     this.autoscaler = autoscaler;
-    this.versions = versions;
+    this.recordVersions = recordVersions;
     this.jobs = jobs;
     this.jobReader = jobReader;
     this.forwarding = forwarding;
@@ -55,10 +55,10 @@
       }
       JobFeasibility.check(spec, settings.facts().teams(), autoscaler.instanceTypes());
     } catch (JobRejectedException rejection) {
-      reject(JobParser.idOf(body), rejection, answer);
+      answerRejection(JobParser.validIdOrEmpty(body), rejection, answer);
       return;
     }
-    if (spec.gang() && !versions.allKnowGangs()) {
+    if (spec.gang() && !recordVersions.allKnowGangs()) {
       answer.accept(
           ApiResponse.later(
               HttpStatus.SERVICE_UNAVAILABLE,
@@ -67,10 +67,10 @@
       return;
     }
     jobReader.remember(spec);
-    haveOwnerAccept(spec, answer);
+    submitToOwner(spec, answer);
   }
 
-  private void haveOwnerAccept(JobSpec spec, Consumer<ApiResponse> answer) {
+  private void submitToOwner(JobSpec spec, Consumer<ApiResponse> answer) {
     forwarding.submit(
         spec,
         ownerAnswer -> {
@@ -84,7 +84,8 @@
   }
 
   /** A job that was accepted once stays accepted, even if a repeat of it would now be rejected. */
-  private void reject(String id, JobRejectedException rejection, Consumer<ApiResponse> answer) {
+  private void answerRejection(
+      String id, JobRejectedException rejection, Consumer<ApiResponse> answer) {
     ApiResponse refusal = ApiResponse.refuse(rejection.status(), rejection.getMessage());
     if (id.isEmpty()) {
       answer.accept(refusal);
@@ -92,6 +93,9 @@
     }
     jobs.answers()
         .fromStore(
-            id, found -> answer.accept(found.status() == HttpStatus.NOT_FOUND ? refusal : found));
+            id,
+            storeAnswer ->
+                answer.accept(
+                    storeAnswer.status() == HttpStatus.NOT_FOUND ? refusal : storeAnswer));
   }
 }
--- a/src/main/java/org/sandford/api/UserAnswers.java
+++ b/src/main/java/org/sandford/api/UserAnswers.java
@@ -25,7 +25,7 @@
   private final JobAnswers jobAnswers;
   private final Cancellations cancellations;
   private final AuditLog audit;
-  private final Histogram submitMillis = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
+  private final Histogram submissionMillis = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
 
   /** Newer ends come from {@code jobAnswers}; {@code cancellations} tells the other controllers. */
   public UserAnswers(
@@ -37,8 +37,8 @@
   }
 
   /** Times from a submission's arrival here to its answer, in milliseconds. */
-  Histogram submitMillis() {
-    return submitMillis;
+  Histogram submissionMillis() {
+    return submissionMillis;
   }
 
   /**
@@ -46,32 +46,35 @@
    *
    * @param id the job asked about, or an empty text when the request names none
    */
-  Consumer<ApiResponse> receiver(UserRequestKind kind, String id, Consumer<ApiResponse> user) {
-    Consumer<ApiResponse> measured = kind == UserRequestKind.SUBMIT ? timed(user) : user;
+  Consumer<ApiResponse> guardedReceiver(
+      UserRequestKind kind, String id, Consumer<ApiResponse> userReceiver) {
+    Consumer<ApiResponse> receiver =
+        kind == UserRequestKind.SUBMIT ? withTiming(userReceiver) : userReceiver;
     return new FirstAnswer(
-        loop, kind.deadlineMs(), answer -> measured.accept(leaving(kind, id, answer)));
+        loop, kind.deadlineMs(), answer -> receiver.accept(finish(kind, id, answer)));
   }
 
-  private Consumer<ApiResponse> timed(Consumer<ApiResponse> user) {
+  private Consumer<ApiResponse> withTiming(Consumer<ApiResponse> userReceiver) {
     long arrivedAt = loop.millis();
     return answer -> {
-      submitMillis.recordValue(Math.min(MAX_RECORDED_MS, Math.max(0, loop.millis() - arrivedAt)));
-      user.accept(answer);
+      submissionMillis.recordValue(
+          Math.min(MAX_RECORDED_MS, Math.max(0, loop.millis() - arrivedAt)));
+      userReceiver.accept(answer);
     };
   }
 
-  private ApiResponse leaving(UserRequestKind kind, String id, ApiResponse answer) {
-    ApiResponse newest = claimsOpen(answer) ? jobAnswers.ended(id).orElse(answer) : answer;
-    if (newest.status() == HttpStatus.OK
-        && newest.state().equals(TerminalState.CANCELLED.wireName())) {
+  private ApiResponse finish(UserRequestKind kind, String id, ApiResponse answer) {
+    ApiResponse current = reportsOpenJob(answer) ? jobAnswers.ended(id).orElse(answer) : answer;
+    if (current.status() == HttpStatus.OK
+        && current.state().equals(TerminalState.CANCELLED.wireName())) {
       cancellations.confirmed(id);
     }
-    audit.answered(kind.wireName(), id, newest.status(), newest.state(), newest.basis());
-    return newest;
+    audit.answered(kind.wireName(), id, current.status(), current.state(), current.basis());
+    return current;
   }
 
   /** Whether the answer says that the job has not ended, which may be out of date by now. */
-  private static boolean claimsOpen(ApiResponse answer) {
+  private static boolean reportsOpenJob(ApiResponse answer) {
     return answer.status() == HttpStatus.CREATED
         || (answer.status() == HttpStatus.OK && !TerminalState.isTerminal(answer.state()));
   }
--- a/src/main/java/org/sandford/cli/ArchiveWarmUp.java
+++ b/src/main/java/org/sandford/cli/ArchiveWarmUp.java
@@ -27,7 +27,7 @@
  * controller runs for a moment on the loopback interface against itself.
  */
 final class ArchiveWarmUp {
-  private static final String SETTINGS =
+  private static final String SETTINGS_TEMPLATE =
       """
       label = "warm-up"
       zone = "z"
@@ -74,10 +74,10 @@
   static int run() {
     try {
       int port = freePort();
-      Path file = Files.createTempFile("sandford", ".toml");
-      Files.writeString(file, SETTINGS.formatted(port, freePort()));
-      Settings settings = SettingsLoader.load(file, null);
-      Files.delete(file);
+      Path settingsFile = Files.createTempFile("sandford", ".toml");
+      Files.writeString(settingsFile, SETTINGS_TEMPLATE.formatted(port, freePort()));
+      Settings settings = SettingsLoader.load(settingsFile, null);
+      Files.delete(settingsFile);
       FrameCodec codec = new FrameCodec();
       codec.decode(codec.encode(new MachineDiscovered("m", "a", "k", "z", false)));
       runController(settings);
@@ -105,46 +105,46 @@
             loop,
             100,
             (method, path, body, answer) -> {
-              ObjectNode known = storeAnswer(path);
-              if (known != null) {
-                answer.accept(ApiResponse.of(200, known));
+              ObjectNode response = serviceResponse(path);
+              if (response != null) {
+                answer.accept(ApiResponse.of(200, response));
               } else {
                 controller.api().take(method, path, body, answer);
               }
             });
     server.listen(settings.listen().host(), settings.listen().port());
     loop.execute(controller::start);
-    CountDownLatch over = new CountDownLatch(1);
+    CountDownLatch finished = new CountDownLatch(1);
     http.send(
         settings.listen().toString(),
         "POST",
         "/work",
         new byte[] {'{', '}'},
         1_000,
-        reply -> loop.after(1_500, over::countDown));
-    over.await(10, TimeUnit.SECONDS);
+        reply -> loop.after(1_500, finished::countDown));
+    finished.await(10, TimeUnit.SECONDS);
     loop.shutdown();
   }
 
   /** Enough of a store and a cloud for a controller to join and look around. */
-  private static ObjectNode storeAnswer(String path) {
-    ObjectNode answer = Json.object().put("epoch", 1).put("permit", 1).put("more", false);
+  private static ObjectNode serviceResponse(String path) {
+    ObjectNode response = Json.object().put("epoch", 1).put("permit", 1).put("more", false);
     if (path.startsWith("/store?")
         || path.equals("/txn")
         || path.startsWith("/holds")
         || path.startsWith("/machines")) {
-      answer.putArray("entries");
-      return answer;
+      response.putArray("entries");
+      return response;
     }
     if (path.equals("/flavors")) {
-      answer
+      response
           .putArray("machine_kinds")
           .addObject()
           .put("sku", "k")
           .put("vcpus", 1)
           .putArray("sites")
           .add("z");
-      return answer;
+      return response;
     }
     return null;
   }
--- a/src/main/java/org/sandford/cli/Daemon.java
+++ b/src/main/java/org/sandford/cli/Daemon.java
@@ -21,13 +21,16 @@
     NettyPeers peers =
         new NettyPeers(loop, settings.peerListen().host(), settings.peerListen().port());
     int sockets = settings.facts().sockets();
-    int toWorkers = (int) (sockets * ApiConstants.WORKER_COMMAND_SOCKET_SHARE);
+    int maxWorkerConnections = (int) (sockets * ApiConstants.WORKER_COMMAND_SOCKET_SHARE);
     NettyHttpClient http =
         new NettyHttpClient(
-            loop, Set.of(settings.state().toString(), settings.cloud().toString()), toWorkers);
+            loop,
+            Set.of(settings.store().toString(), settings.cloud().toString()),
+            maxWorkerConnections);
     Controller controller = new Controller(loop, settings, http, peers);
-    int most = Math.max(16, sockets - toWorkers - ApiConstants.RESERVED_SOCKETS);
-    NettyHttpServer server = new NettyHttpServer(loop, most, controller.api()::take);
+    int maxConnections =
+        Math.max(16, sockets - maxWorkerConnections - ApiConstants.RESERVED_SOCKETS);
+    NettyHttpServer server = new NettyHttpServer(loop, maxConnections, controller.api()::take);
     try {
       server.listen(settings.listen().host(), settings.listen().port());
     } catch (InterruptedException e) {
--- a/src/main/java/org/sandford/cli/Logging.java
+++ b/src/main/java/org/sandford/cli/Logging.java
@@ -5,13 +5,13 @@
   private Logging() {}
 
   static void configure(String level) {
-    String chosen =
+    String effectiveLevel =
         switch (level == null ? "" : level) {
           case "debug" -> "debug";
           case "error" -> "error";
           default -> "info";
         };
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", chosen);
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", effectiveLevel);
     System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error");
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
     System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
--- a/src/main/java/org/sandford/controller/Controller.java
+++ b/src/main/java/org/sandford/controller/Controller.java
@@ -94,14 +94,14 @@
     this.loop = loop;
     this.settings = settings;
     Settings.Facts facts = settings.facts();
-    StoreClient state =
+    StoreClient storeClient =
         new StoreClient(
-            loop, http, settings.state().toString(), facts.stateRps(), facts.stateWriteRps());
+            loop, http, settings.store().toString(), facts.stateRps(), facts.stateWriteRps());
     CloudClient cloud = new CloudClient(loop, http, settings.cloud().toString(), facts.cloudRps());
     terminalStates = new TerminalStates(loop);
-    OpenJobReader store = new OpenJobReader(loop, state, audit);
-    JobReader jobReader = new JobReader(state, terminalStates, audit);
-    cluster = new Cluster(loop, settings, state, audit);
+    OpenJobReader openJobReader = new OpenJobReader(loop, storeClient, audit);
+    JobReader jobReader = new JobReader(storeClient, terminalStates, audit);
+    cluster = new Cluster(loop, settings, storeClient, audit);
     links = new PeerLinks(loop, settings, peers, cluster::incarnationNumber);
     cancellations =
         new Cancellations(loop, settings, new CancellationPeers(), cluster, cluster::incarnationId);
@@ -114,7 +114,7 @@
             cancellations,
             http,
             links,
-            store,
+            openJobReader,
             this::instanceType,
             terminalStates::contains,
             machineSnapshots,
@@ -126,21 +126,21 @@
             cluster,
             links,
             machineSnapshots,
-            new RecordWriter(loop, state, facts.stateTxnOps()),
-            store,
+            new RecordWriter(loop, storeClient, facts.stateTxnOps()),
+            openJobReader,
             terminalStates,
             jobReader,
             this::instanceType,
             audit);
     autoscaler =
         new Autoscaler(loop, settings, cluster, cloud, links, machineSnapshots, jobs::demand);
-    versions = new RecordVersions(loop, settings, state);
-    api = api(jobReader);
+    versions = new RecordVersions(loop, settings, storeClient);
+    api = createApi(jobReader);
     registerRequestHandlers();
     registerResponseHandlers();
   }
 
-  private Api api(JobReader jobReader) {
+  private Api createApi(JobReader jobReader) {
     OwnerForwarding forwarding =
         new OwnerForwarding(
             loop,
@@ -182,12 +182,12 @@
     cluster.start(this);
     versions.start();
     links.start(this, this);
-    cancellations.start(this::cancelled);
+    cancellations.start(this::applyConfirmedCancellation);
     machineShard.start();
     jobs.start();
     autoscaler.start();
-    loop.every(PeerConstants.PEER_HEARTBEAT_MS, this::heartbeat);
-    loop.every(TimeConstants.SUMMARY_MS, this::summary);
+    loop.every(PeerConstants.PEER_HEARTBEAT_MS, this::sendPeerHeartbeat);
+    loop.every(TimeConstants.SUMMARY_MS, this::logSummary);
   }
 
   /** Handler of all HTTP requests of users and workers. */
@@ -200,7 +200,7 @@
     return machineSnapshots;
   }
 
-  private void heartbeat() {
+  private void sendPeerHeartbeat() {
     assignmentRevisions = cluster.assignmentRevisions();
     links.requestAll(assignmentRevisions);
     if (!cluster.isLeader()) {
@@ -215,7 +215,7 @@
                     Cluster.labelOf(owner.owner()), new HandOverTeam(team, owner.generation())));
   }
 
-  private void summary() {
+  private void logSummary() {
     log.info(
         "summary open_jobs={} waiting_tasks={} teams={} machines={} leader={} submit_p99_ms={}",
         jobs.openJobs(),
@@ -223,8 +223,8 @@
         jobs.teamCount(),
         machineShard.countByState(),
         cluster.leaderLabel(),
-        api.submitMillis().getValueAtPercentile(99));
-    api.submitMillis().reset();
+        api.submissionMillis().getValueAtPercentile(99));
+    api.submissionMillis().reset();
     log.info("audit counters {}", audit.counters());
   }
 
@@ -243,7 +243,7 @@
   }
 
   /** Another controller told a user so; the store's watch may tell the same sooner or later. */
-  private void cancelled(String job) {
+  private void applyConfirmedCancellation(String job) {
     if (!terminalStates.contains(job)) {
       audit.terminalStateLearned(job, "aborted", AuditLog.LearnedBy.PEER, 0);
       jobEnded(job, TerminalStates.ABORTED);
@@ -276,17 +276,21 @@
   }
 
   private void registerRequestHandlers() {
-    router.onRequest(ForwardedRequest.class, (from, call, reply) -> api.called(call, reply));
-    router.onRequest(StartTask.class, (from, start, reply) -> machineShard.startTask(start, reply));
+    router.onRequest(
+        ForwardedRequest.class,
+        (sender, request, reply) -> api.handleForwardedRequest(request, reply));
+    router.onRequest(
+        StartTask.class, (sender, start, reply) -> machineShard.startTask(start, reply));
     router.onRequest(StopTask.class, machineShard::stopTask);
     router.onRequest(AcknowledgeExit.class, machineShard::acknowledgeExit);
     router.onRequest(Preempt.class, machineShard::preempt);
-    router.onRequest(ClaimTeam.class, (from, claim, reply) -> machineShard.claimTeam(claim, reply));
+    router.onRequest(
+        ClaimTeam.class, (sender, claim, reply) -> machineShard.claimTeam(claim, reply));
     router.onRequest(DecommissionMachine.class, machineShard::decommission);
     router.onRequest(DrainMachine.class, machineShard::drain);
     router.onRequest(HandOverTeam.class, this::handOverTeam);
     router.onRequest(
-        Demand.class, (from, demand, reply) -> autoscaler.demand(from, demand.classes));
+        Demand.class, (sender, demand, reply) -> autoscaler.demand(sender, demand.classes));
     router.onRequest(MachineDiscovered.class, this::addDiscoveredMachine);
     router.onRequest(JobCancelled.class, cancellations::handleNotification);
     router.onRequest(CancellationsRequest.class, this::replyWithCancellations);
@@ -294,19 +298,19 @@
   }
 
   private void registerResponseHandlers() {
-    router.onResponse(SnapshotUpdate.class, this::takeSnapshots);
+    router.onResponse(SnapshotUpdate.class, this::applySnapshots);
     router.onResponse(StartReply.class, jobs::startReplied);
     router.onResponse(ClaimReply.class, jobs::claimReplied);
-    router.onResponse(ForwardedResponse.class, api::answered);
+    router.onResponse(ForwardedResponse.class, api::handleForwardedResponse);
     router.onResponse(
         TeamHandedOver.class, reply -> cluster.teamHandedOver(reply.team, reply.generation));
     router.onResponse(
         CancellationsResponse.class,
-        (from, response) -> cancellations.handleResponse(from, response));
+        (sender, response) -> cancellations.handleResponse(sender, response));
     router.onResponse(AssignmentUpdate.class, cluster::applyUpdate);
   }
 
-  private void handOverTeam(String from, HandOverTeam request, Consumer<Object> reply) {
+  private void handOverTeam(String sender, HandOverTeam request, Consumer<Object> reply) {
     if (jobs.handOverTeam(request.team, request.generation)) {
       reply.accept(new TeamHandedOver(request.team, request.generation));
     }
@@ -321,7 +325,7 @@
   }
 
   private void replyWithCancellations(
-      String from, CancellationsRequest request, Consumer<Object> reply) {
+      String sender, CancellationsRequest request, Consumer<Object> reply) {
     CancellationsResponse response = cancellations.handleRequest(request);
     if (response != null) {
       reply.accept(response);
@@ -330,7 +334,7 @@
 
   /** A controller that is cut off from the store must learn from its peers that it was replaced. */
   private void replyWithMissingAssignments(
-      String from, AssignmentRevisions known, Consumer<Object> reply) {
+      String sender, AssignmentRevisions known, Consumer<Object> reply) {
     AssignmentUpdate missing = cluster.missingFrom(known);
     if (missing != null) {
       reply.accept(missing);
@@ -338,9 +342,9 @@
   }
 
   /** The scheduler reads the snapshots that are stored already, so the order matters. */
-  private void takeSnapshots(String from, SnapshotUpdate update) {
-    machineSnapshots.apply(from, update);
-    jobs.snapshots(from, update);
+  private void applySnapshots(String sender, SnapshotUpdate update) {
+    machineSnapshots.apply(sender, update);
+    jobs.snapshots(sender, update);
   }
 
   @Override
--- a/src/main/java/org/sandford/settings/Settings.java
+++ b/src/main/java/org/sandford/settings/Settings.java
@@ -11,7 +11,7 @@
     Endpoint peerListen,
     List<Other> others,
     Endpoint cloud,
-    Endpoint state,
+    Endpoint store,
     Facts facts,
     Operators operators) {
 
@@ -37,7 +37,7 @@
     /** A team as the platform's facts give it, where a value of 0 means none. */
     public static Team ofFacts(
         String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-      return new Team(name, cpus, limit(cpusMax), gpus, limit(gpusMax));
+      return new Team(name, cpus, limitOrNone(cpusMax), gpus, limitOrNone(gpusMax));
     }
 
     /** Whether anything is guaranteed to the team. */
@@ -45,8 +45,8 @@
       return cpus > 0 || gpus > 0;
     }
 
-    private static double limit(double given) {
-      return given == 0 ? NO_LIMIT : given;
+    private static double limitOrNone(double factsLimit) {
+      return factsLimit == 0 ? NO_LIMIT : factsLimit;
     }
   }
 
--- a/src/main/java/org/sandford/settings/SettingsLoader.java
+++ b/src/main/java/org/sandford/settings/SettingsLoader.java
@@ -44,36 +44,36 @@
     } catch (IOException e) {
       throw new SettingsException(toml + ": cannot be read: " + oneLine(e.toString()));
     }
-    return check(toml.toString(), root, operators(ini));
+    return parse(toml.toString(), root, loadOperators(ini));
   }
 
   /** Checks settings that were read already; {@code file} is named in complaints. */
-  static Settings check(String file, JsonNode root, Settings.Operators operators)
+  static Settings parse(String file, JsonNode root, Settings.Operators operators)
       throws SettingsException {
     Section top = new Section(file, "", root);
     List<Settings.Other> others = new ArrayList<>();
-    for (Section other : top.list("others")) {
+    for (Section other : top.tables("others")) {
       others.add(
           new Settings.Other(other.text("label"), other.text("zone"), other.endpoint("address")));
     }
     Section services = top.section("services");
     Section facts = top.section("facts");
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
-    for (Section team : facts.list("teams")) {
+    for (Section team : facts.tables("teams")) {
       String name = team.text("name");
       teams.put(
           name,
           Settings.Team.ofFacts(
               name,
-              team.amount("cpus", 0, 0),
-              team.amount("cpus_max", 0, 0),
-              team.amount("gpus", 0, 0),
-              team.amount("gpus_max", 0, 0)));
+              team.number("cpus", 0, 0),
+              team.number("cpus_max", 0, 0),
+              team.number("gpus", 0, 0),
+              team.number("gpus_max", 0, 0)));
     }
     Section workers = facts.section("workers");
-    StateLimits limitsOfStore = StateLimits.read(facts.section("state"));
+    StateLimits storeLimits = StateLimits.read(facts.section("state"));
     Section cloud = facts.section("cloud");
-    Section limits = facts.section("machine_limits");
+    Section machineLimits = facts.section("machine_limits");
     Settings settings =
         new Settings(
             top.text("label"),
@@ -84,20 +84,20 @@
             services.endpoint("cloud"),
             services.endpoint("state"),
             new Settings.Facts(
-                facts.texts("zones"),
+                facts.textList("zones"),
                 Map.copyOf(teams),
-                workers.amount("report_s", 0.1, Double.NaN),
-                workers.amount("lease_s", 1, Double.NaN),
-                workers.amount("cancel_s", 1, Double.NaN),
-                workers.amount("gang_wait_s", 1, GangConstants.DEFAULT_GANG_WAIT_S),
-                workers.amount("gang_peer_s", 0.1, GangConstants.DEFAULT_GANG_PEER_S),
-                limitsOfStore.requestsPerSecond(),
-                limitsOfStore.changesPerSecond(),
-                limitsOfStore.valueBytes(),
-                limitsOfStore.changesPerTransaction(),
-                cloud.amount("rps", 0.01, Double.NaN),
-                cloud.amount("list_lag_s", 0, 0),
-                (int) limits.amount("sockets", 16, ApiConstants.DEFAULT_SOCKETS),
+                workers.number("report_s", 0.1, Double.NaN),
+                workers.number("lease_s", 1, Double.NaN),
+                workers.number("cancel_s", 1, Double.NaN),
+                workers.number("gang_wait_s", 1, GangConstants.DEFAULT_GANG_WAIT_S),
+                workers.number("gang_peer_s", 0.1, GangConstants.DEFAULT_GANG_PEER_S),
+                storeLimits.requestsPerSecond(),
+                storeLimits.changesPerSecond(),
+                storeLimits.valueBytes(),
+                storeLimits.changesPerTransaction(),
+                cloud.number("rps", 0.01, Double.NaN),
+                cloud.number("list_lag_s", 0, 0),
+                (int) machineLimits.number("sockets", 16, ApiConstants.DEFAULT_SOCKETS),
                 1 + others.size()),
             operators);
     if (settings.facts().cancelS() <= settings.facts().leaseS()) {
@@ -108,50 +108,52 @@
   }
 
   /** Reads the operators' INI file; without one the defaults hold. */
-  static Settings.Operators operators(Path ini) throws SettingsException {
-    INIConfiguration read = new INIConfiguration();
+  static Settings.Operators loadOperators(Path ini) throws SettingsException {
+    INIConfiguration config = new INIConfiguration();
     if (ini != null) {
       try (Reader in = Files.newBufferedReader(ini)) {
-        read.read(in);
+        config.read(in);
       } catch (ConfigurationException e) {
         throw new SettingsException(ini + ": not INI: " + oneLine(e.getMessage()));
       } catch (IOException e) {
         throw new SettingsException(ini + ": cannot be read: " + oneLine(e.toString()));
       }
     }
-    for (Iterator<String> keys = read.getKeys(); keys.hasNext(); ) {
+    for (Iterator<String> keys = config.getKeys(); keys.hasNext(); ) {
       String key = keys.next();
       if (!INI_KEYS.contains(key)) {
         throw new SettingsException(
             ini + ": " + key + ": unknown key; expected one of " + new TreeSet<>(INI_KEYS));
       }
     }
-    double max = number(ini, read, "fleet.max_machines", ScalingConstants.DEFAULT_MAX_MACHINES, 1);
-    double idle = number(ini, read, "fleet.idle_return_s", ScalingConstants.IDLE_DECOMMISSION_S, 1);
-    String spot = read.getString("fleet.use_spot", "true");
-    if (!spot.equals("true") && !spot.equals("false")) {
-      throw new SettingsException(ini + ": fleet.use_spot: expected true or false, got " + spot);
+    double maxMachines =
+        iniNumber(ini, config, "fleet.max_machines", ScalingConstants.DEFAULT_MAX_MACHINES, 1);
+    double idleReturnS =
+        iniNumber(ini, config, "fleet.idle_return_s", ScalingConstants.IDLE_DECOMMISSION_S, 1);
+    String useSpot = config.getString("fleet.use_spot", "true");
+    if (!useSpot.equals("true") && !useSpot.equals("false")) {
+      throw new SettingsException(ini + ": fleet.use_spot: expected true or false, got " + useSpot);
     }
-    return new Settings.Operators((int) max, spot.equals("true"), idle);
+    return new Settings.Operators((int) maxMachines, useSpot.equals("true"), idleReturnS);
   }
 
-  private static double number(
-      Path ini, INIConfiguration read, String key, double byDefault, double least)
+  private static double iniNumber(
+      Path ini, INIConfiguration config, String key, double defaultValue, double min)
       throws SettingsException {
-    String text = read.getString(key);
+    String text = config.getString(key);
     if (text == null) {
-      return byDefault;
+      return defaultValue;
     }
     try {
       double value = Double.parseDouble(text);
-      if (value >= least && value < 1e9) {
+      if (value >= min && value < 1e9) {
         return value;
       }
     } catch (NumberFormatException e) {
       // Falls through to the complaint below, which tells all that the parser would.
     }
     throw new SettingsException(
-        ini + ": " + key + ": expected a number of at least " + least + ", got " + text);
+        ini + ": " + key + ": expected a number of at least " + min + ", got " + text);
   }
 
   private static String oneLine(String text) {
@@ -170,88 +172,88 @@
      */
     static StateLimits read(Section state) throws SettingsException {
       return new StateLimits(
-          smaller(state, "rps"),
-          smaller(state, "write_rps"),
-          (int) (smaller(state, "value_kb") * 1024),
-          (int) smaller(state, "txn_ops"));
+          effectiveLimit(state, "rps"),
+          effectiveLimit(state, "write_rps"),
+          (int) (effectiveLimit(state, "value_kb") * 1024),
+          (int) effectiveLimit(state, "txn_ops"));
     }
 
-    private static double smaller(Section state, String key) throws SettingsException {
-      double now = state.amount(key, 1, Double.NaN);
-      Section next = state.optional("next");
-      return next == null ? now : Math.min(now, next.amount(key, 1, now));
+    private static double effectiveLimit(Section state, String key) throws SettingsException {
+      double current = state.number(key, 1, Double.NaN);
+      Section next = state.optionalSection("next");
+      return next == null ? current : Math.min(current, next.number(key, 1, current));
     }
   }
 
   /** A table of the TOML file that knows its own name, for complaints. */
   private record Section(String file, String path, JsonNode node) {
-    private SettingsException wrong(String key, String expected) {
+    private SettingsException invalid(String key, String expected) {
       return new SettingsException(file + ": " + path + key + ": expected " + expected);
     }
 
     Section section(String key) throws SettingsException {
-      JsonNode at = node.path(key);
-      if (!at.isObject()) {
-        throw wrong(key, "a table");
+      JsonNode value = node.path(key);
+      if (!value.isObject()) {
+        throw invalid(key, "a table");
       }
-      return new Section(file, path + key + ".", at);
+      return new Section(file, path + key + ".", value);
     }
 
     /** The table, or null when there is none. */
-    Section optional(String key) throws SettingsException {
+    Section optionalSection(String key) throws SettingsException {
       return node.path(key).isMissingNode() ? null : section(key);
     }
 
-    List<Section> list(String key) throws SettingsException {
-      JsonNode at = node.path(key);
-      if (at.isMissingNode()) {
+    List<Section> tables(String key) throws SettingsException {
+      JsonNode value = node.path(key);
+      if (value.isMissingNode()) {
         return List.of();
       }
-      if (!at.isArray()) {
-        throw wrong(key, "a list of tables");
+      if (!value.isArray()) {
+        throw invalid(key, "a list of tables");
       }
-      List<Section> out = new ArrayList<>();
-      for (int i = 0; i < at.size(); i++) {
-        if (!at.get(i).isObject()) {
-          throw wrong(key + "[" + i + "]", "a table");
+      List<Section> result = new ArrayList<>();
+      for (int i = 0; i < value.size(); i++) {
+        if (!value.get(i).isObject()) {
+          throw invalid(key + "[" + i + "]", "a table");
         }
-        out.add(new Section(file, path + key + "[" + i + "].", at.get(i)));
+        result.add(new Section(file, path + key + "[" + i + "].", value.get(i)));
       }
-      return out;
+      return result;
     }
 
     String text(String key) throws SettingsException {
-      JsonNode at = node.path(key);
-      if (!at.isTextual() || at.asText().isEmpty()) {
-        throw wrong(key, "a text that is not empty");
+      JsonNode value = node.path(key);
+      if (!value.isTextual() || value.asText().isEmpty()) {
+        throw invalid(key, "a text that is not empty");
       }
-      return at.asText();
+      return value.asText();
     }
 
-    List<String> texts(String key) throws SettingsException {
-      JsonNode at = node.path(key);
-      List<String> out = new ArrayList<>();
-      for (JsonNode item : at) {
+    List<String> textList(String key) throws SettingsException {
+      JsonNode value = node.path(key);
+      List<String> result = new ArrayList<>();
+      for (JsonNode item : value) {
         if (!item.isTextual()) {
-          throw wrong(key, "a list of texts");
+          throw invalid(key, "a list of texts");
         }
-        out.add(item.asText());
+        result.add(item.asText());
       }
-      if (out.isEmpty()) {
-        throw wrong(key, "a list of texts that is not empty");
+      if (result.isEmpty()) {
+        throw invalid(key, "a list of texts that is not empty");
       }
-      return List.copyOf(out);
+      return List.copyOf(result);
     }
 
-    double amount(String key, double least, double byDefault) throws SettingsException {
-      JsonNode at = node.path(key);
-      if (at.isMissingNode() && !Double.isNaN(byDefault)) {
-        return byDefault;
+    double number(String key, double min, double defaultValue) throws SettingsException {
+      JsonNode value = node.path(key);
+      if (value.isMissingNode() && !Double.isNaN(defaultValue)) {
+        return defaultValue;
       }
-      if (!at.isNumber() || at.asDouble() < least || Double.isInfinite(at.asDouble())) {
-        throw wrong(key, "a number of at least " + least);
+      if (!value.isNumber() || value.asDouble() < min || Double.isInfinite(value.asDouble())) {
+        throw invalid(key, "a number of at least " + min);
       }
-      return at.asDouble();
+      return value.asDouble();
     }
 
     Settings.Endpoint endpoint(String key) throws SettingsException {
@@ -264,7 +266,7 @@
       } catch (IllegalArgumentException e) {
         // The complaint below says what was expected.
       }
-      throw wrong(key, "an address like 10.0.0.1:8080, got " + text);
+      throw invalid(key, "an address like 10.0.0.1:8080, got " + text);
     }
   }
 }
--- a/src/test/java/org/sandford/api/JobParserTest.java
+++ b/src/test/java/org/sandford/api/JobParserTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void validJobIsParsedAndSurvivesItsRecord() throws Exception {
+  void validJobIsParsedAndRoundTripsThroughItsRecord() throws Exception {
     JobSpec spec = JobParser.parse(validBody());
     JobFeasibility.check(spec, TEAMS, INSTANCE_TYPES);
     assertEquals(JobSpec.Rank.URGENT, spec.rank());
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void allTasksOfGangCountAgainstQuotaAtOnce() throws Exception {
+  void allTasksOfGangCountAgainstQuotaTogether() throws Exception {
     ObjectNode gang = validBody().put("shape", "ensemble").put("pieces", 2);
     JobSpec spec = JobParser.parse(gang);
     JobFeasibility.check(spec, TEAMS, INSTANCE_TYPES);
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void malformedJobIsRejectedWith400NamingTheField() {
+  void malformedJobIsRejectedWith400ThatNamesTheField() {
     for (String field :
         List.of(
             "name_id",
@@ -104,8 +104,8 @@
     assertEquals(422, rejection(validBody().put("vcpus", 9.0)).status());
     assertEquals(422, rejection(validBody().put("site", "nowhere")).status());
     assertEquals(422, rejection(validBody().put("shape", "standing")).status());
-    ObjectNode instanceTypes = validBody();
-    instanceTypes.putArray("machine_kinds").add("g8");
-    assertEquals(422, rejection(instanceTypes).status());
+    ObjectNode unknownInstanceType = validBody();
+    unknownInstanceType.putArray("machine_kinds").add("g8");
+    assertEquals(422, rejection(unknownInstanceType).status());
   }
 }
--- a/src/test/java/org/sandford/settings/SettingsLoaderTest.java
+++ b/src/test/java/org/sandford/settings/SettingsLoaderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class SettingsLoaderTest {
-  private static final String GOOD =
+  private static final String VALID_TOML =
       """
       label = "c0"
       zone = "a"
@@ -49,16 +49,18 @@
 
   @TempDir Path dir;
 
-  private Path file(String name, String text) throws IOException {
+  private Path writeFile(String name, String text) throws IOException {
     return Files.writeString(dir.resolve(name), text);
   }
 
   @Test
-  void theSmallerOfTheStoresLimitsHolds() throws Exception {
-    String next =
+  void smallerOfCurrentAndAnnouncedStoreLimitApplies() throws Exception {
+    String announcedLimits =
         "[facts.state.next]\nvalue_kb = 2.0\ntxn_ops = 30\nwrite_rps = 35.0\n[facts.cloud]";
     Settings.Facts facts =
-        SettingsLoader.load(file("s.toml", GOOD.replace("[facts.cloud]", next)), null).facts();
+        SettingsLoader.load(
+                writeFile("s.toml", VALID_TOML.replace("[facts.cloud]", announcedLimits)), null)
+            .facts();
     assertEquals(2048, facts.stateValueBytes());
     assertEquals(24, facts.stateTxnOps(), "the announced one is larger");
     assertEquals(35.0, facts.stateWriteRps());
@@ -66,29 +68,31 @@
   }
 
   @Test
-  void gangTimesHaveDefaults() throws Exception {
-    Settings.Facts plain = SettingsLoader.load(file("s.toml", GOOD), null).facts();
-    assertEquals(30.0, plain.gangWaitS());
-    assertEquals(8.0, plain.gangPeerS());
-    String given = "gang_wait_s = 50.0\ngang_peer_s = 6.0\n[facts.state]";
+  void gangTimeoutsHaveDefaults() throws Exception {
+    Settings.Facts defaults = SettingsLoader.load(writeFile("s.toml", VALID_TOML), null).facts();
+    assertEquals(30.0, defaults.gangWaitS());
+    assertEquals(8.0, defaults.gangPeerS());
+    String gangTimeouts = "gang_wait_s = 50.0\ngang_peer_s = 6.0\n[facts.state]";
     Settings.Facts facts =
-        SettingsLoader.load(file("t.toml", GOOD.replace("[facts.state]", given)), null).facts();
+        SettingsLoader.load(
+                writeFile("t.toml", VALID_TOML.replace("[facts.state]", gangTimeouts)), null)
+            .facts();
     assertEquals(50.0, facts.gangWaitS());
     assertEquals(6.0, facts.gangPeerS());
     assertTrue(
-        complaint(GOOD.replace("[facts.cloud]", "next = 5\n[facts.cloud]"))
+        loadError(VALID_TOML.replace("[facts.cloud]", "next = 5\n[facts.cloud]"))
             .contains("facts.state.next"));
   }
 
-  private String complaint(String toml) throws IOException {
-    Path file = file("s.toml", toml);
+  private String loadError(String toml) throws IOException {
+    Path file = writeFile("s.toml", toml);
     return assertThrows(SettingsException.class, () -> SettingsLoader.load(file, null))
         .getMessage();
   }
 
   @Test
-  void goodSettingsAreReadAndUnknownTomlIsIgnored() throws Exception {
-    Settings settings = SettingsLoader.load(file("s.toml", GOOD), null);
+  void validSettingsAreLoadedAndUnknownTomlKeysIgnored() throws Exception {
+    Settings settings = SettingsLoader.load(writeFile("s.toml", VALID_TOML), null);
     assertEquals("c0", settings.label());
     assertEquals(16 * 1024, settings.facts().stateValueBytes());
     assertEquals(16.0, settings.facts().teams().get("red").cpusMax());
@@ -98,11 +102,12 @@
 
   /** Read as a limit of nothing, it had each job of a team without limit refused with 422. */
   @Test
-  void aLimitOfZeroIsNone() throws Exception {
-    String guests =
+  void zeroLimitMeansNoLimit() throws Exception {
+    String unlimitedTeam =
         "[[facts.teams]]\nname = \"guests\"\ncpus = 0.0\ncpus_max = 0.0\n[facts.workers]";
     Settings.Team team =
-        SettingsLoader.load(file("s.toml", GOOD.replace("[facts.workers]", guests)), null)
+        SettingsLoader.load(
+                writeFile("s.toml", VALID_TOML.replace("[facts.workers]", unlimitedTeam)), null)
             .facts()
             .teams()
             .get("guests");
@@ -112,35 +117,37 @@
   }
 
   @Test
-  void complaintsNameFileKeyAndWhatIsExpected() throws IOException {
-    String missing = complaint(GOOD.replace("label = \"c0\"\n", ""));
+  void errorsNameFileKeyAndExpectedValue() throws IOException {
+    String missing = loadError(VALID_TOML.replace("label = \"c0\"\n", ""));
     assertTrue(missing.contains("s.toml: label: expected"), missing);
-    String typed = complaint(GOOD.replace("lease_s = 16.0", "lease_s = \"x\""));
-    assertTrue(typed.contains("facts.workers.lease_s: expected a number"), typed);
-    String address = complaint(GOOD.replace("10.0.0.2:8081", "nowhere"));
+    String wrongType = loadError(VALID_TOML.replace("lease_s = 16.0", "lease_s = \"x\""));
+    assertTrue(wrongType.contains("facts.workers.lease_s: expected a number"), wrongType);
+    String address = loadError(VALID_TOML.replace("10.0.0.2:8081", "nowhere"));
     assertTrue(address.contains("others[0].address: expected an address"), address);
-    String order = complaint(GOOD.replace("cancel_s = 46.0", "cancel_s = 10.0"));
-    assertTrue(order.contains("facts.workers.cancel_s: expected more"), order);
-    String broken = complaint("label = ");
-    assertTrue(broken.contains("not TOML"), broken);
-    assertFalse(broken.contains("\n"), broken);
+    String cancelBelowLease = loadError(VALID_TOML.replace("cancel_s = 46.0", "cancel_s = 10.0"));
+    assertTrue(
+        cancelBelowLease.contains("facts.workers.cancel_s: expected more"), cancelBelowLease);
+    String notToml = loadError("label = ");
+    assertTrue(notToml.contains("not TOML"), notToml);
+    assertFalse(notToml.contains("\n"), notToml);
   }
 
   @Test
-  void operatorsSettingsAreCheckedAndUnknownKeysRefused() throws Exception {
-    Path toml = file("s.toml", GOOD);
-    Path good = file("o.ini", "[fleet]\nmax_machines = 12\nuse_spot = false\n");
+  void operatorSettingsAreValidatedAndUnknownKeysRejected() throws Exception {
+    Path toml = writeFile("s.toml", VALID_TOML);
+    Path good = writeFile("o.ini", "[fleet]\nmax_machines = 12\nuse_spot = false\n");
     Settings settings = SettingsLoader.load(toml, good);
     assertEquals(12, settings.operators().maxMachines());
     assertFalse(settings.operators().useSpot());
-    Path unknown = file("u.ini", "[fleet]\nmax_machine = 12\n");
-    String message =
-        assertThrows(SettingsException.class, () -> SettingsLoader.load(toml, unknown))
+    Path unknownKey = writeFile("u.ini", "[fleet]\nmax_machine = 12\n");
+    String unknownKeyMessage =
+        assertThrows(SettingsException.class, () -> SettingsLoader.load(toml, unknownKey))
+            .getMessage();
+    assertTrue(unknownKeyMessage.contains("fleet.max_machine: unknown key"), unknownKeyMessage);
+    Path badValue = writeFile("w.ini", "[fleet]\nuse_spot = perhaps\n");
+    String badValueMessage =
+        assertThrows(SettingsException.class, () -> SettingsLoader.load(toml, badValue))
             .getMessage();
-    assertTrue(message.contains("fleet.max_machine: unknown key"), message);
-    Path wrong = file("w.ini", "[fleet]\nuse_spot = perhaps\n");
-    String value =
-        assertThrows(SettingsException.class, () -> SettingsLoader.load(toml, wrong)).getMessage();
-    assertTrue(value.contains("fleet.use_spot: expected true or false"), value);
+    assertTrue(badValueMessage.contains("fleet.use_spot: expected true or false"), badValueMessage);
   }
 }
