--- a/src/main/java/org/sandford/controller/Controller.java
+++ b/src/main/java/org/sandford/controller/Controller.java
@@ -210,9 +210,10 @@
     cluster
         .teamsToHandOver()
         .forEach(
-            (team, owner) ->
+            (team, assignment) ->
                 links.request(
-                    Cluster.labelOf(owner.owner()), new HandOverTeam(team, owner.generation())));
+                    Cluster.labelOf(assignment.owner()),
+                    new HandOverTeam(team, assignment.generation())));
   }
 
   private void logSummary() {
@@ -340,8 +341,8 @@
    * from its peers that it was replaced.
    */
   private void replyWithMissingAssignments(
-      String sender, AssignmentRevisions known, Consumer<Object> reply) {
-    AssignmentUpdate missing = cluster.missingFrom(known);
+      String sender, AssignmentRevisions peerRevisions, Consumer<Object> reply) {
+    AssignmentUpdate missing = cluster.missingFrom(peerRevisions);
     if (missing != null) {
       reply.accept(missing);
     }
--- a/src/main/java/org/sandford/settings/SettingsLoader.java
+++ b/src/main/java/org/sandford/settings/SettingsLoader.java
@@ -92,9 +92,9 @@
                 workers.number("gang_wait_s", 1, GangConstants.DEFAULT_GANG_WAIT_S),
                 workers.number("gang_peer_s", 0.1, GangConstants.DEFAULT_GANG_PEER_S),
                 storeLimits.requestsPerSecond(),
-                storeLimits.changesPerSecond(),
+                storeLimits.writesPerSecond(),
                 storeLimits.valueBytes(),
-                storeLimits.changesPerTransaction(),
+                storeLimits.operationsPerTransaction(),
                 cloud.number("rps", 0.01, Double.NaN),
                 cloud.number("list_lag_s", 0, 0),
                 (int) machineLimits.number("sockets", 16, ApiConstants.DEFAULT_SOCKETS),
@@ -163,9 +163,9 @@
   /** The limits of the store, valid now and after the announced change. */
   private record StateLimits(
       double requestsPerSecond,
-      double changesPerSecond,
+      double writesPerSecond,
       int valueBytes,
-      int changesPerTransaction) {
+      int operationsPerTransaction) {
     /**
      * Returns the smaller of each current limit and the one that {@code next} announces; a limit
      * that is missing there does not change.
