--- a/src/main/java/org/sandford/net/NettyHttpServer.java
+++ b/src/main/java/org/sandford/net/NettyHttpServer.java
@@ -61,7 +61,7 @@
   /** Worker connections without a request in progress, the one idle the longest first. */
   private final Set<Connection> idleWorkerConnections = new LinkedHashSet<>();
 
-  /** User connections without a request in progress, the one idle the longest first. */
+  /** The same for user connections, and for new ones before their first request. */
   private final Set<Connection> idleUserConnections = new LinkedHashSet<>();
 
   private int workerConnections;
