--- a/src/main/java/org/sandford/net/NettyHttpClient.java
+++ b/src/main/java/org/sandford/net/NettyHttpClient.java
@@ -34,13 +34,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * HTTP client with a connection pool per address; one request at a time on each connection, none
- * pipelined. Workers are many and sockets few, so the connections to workers are limited: at the
- * limit, the connection that was idle the longest is closed, and requests wait in order until one
- * may be opened. Connections to the services do not count.
+ * HTTP client with a connection pool per address; each connection carries one request at a time,
+ * without pipelining. Workers may outnumber sockets, so the connections to workers are limited: at
+ * the limit, the connection that was idle the longest is closed, and requests wait in order until
+ * one may be opened. Connections to the store and the cloud do not count.
  *
  * <p>Each request gets exactly one reply: the response, {@link HttpTransport.Reply#NOT_SENT} if it
- * surely was not sent, or {@link HttpTransport.Reply#UNKNOWN}. Runs on the event loop.
+ * certainly was not sent, or {@link HttpTransport.Reply#UNKNOWN}. Runs on the event loop.
  */
 public final class NettyHttpClient implements HttpTransport {
   private static final Logger log = LoggerFactory.getLogger(NettyHttpClient.class);
@@ -50,22 +50,22 @@
 
   private final NettyLoop loop;
   private final Bootstrap bootstrap;
-  private final Map<String, ArrayDeque<Connection>> idle = new HashMap<>();
+  private final Map<String, ArrayDeque<Connection>> idleByAddress = new HashMap<>();
   private final Set<Connection> idleWorkerConnections = new LinkedHashSet<>();
   private final ArrayDeque<Runnable> waitingConnects = new ArrayDeque<>();
-  private final Set<String> services;
+  private final Set<String> serviceAddresses;
   private final int maxWorkerConnections;
   private int workerConnections;
 
   /**
-   * A client without connections.
+   * Creates a client without connections.
    *
-   * @param services the addresses that are not workers
+   * @param serviceAddresses the addresses of the store and the cloud; all others count as workers
    * @param maxWorkerConnections the most connections to workers that are open at a time
    */
-  public NettyHttpClient(NettyLoop loop, Set<String> services, int maxWorkerConnections) {
+  public NettyHttpClient(NettyLoop loop, Set<String> serviceAddresses, int maxWorkerConnections) {
     this.loop = loop;
-    this.services = Set.copyOf(services);
+    this.serviceAddresses = Set.copyOf(serviceAddresses);
     this.maxWorkerConnections = maxWorkerConnections;
     this.bootstrap =
         new Bootstrap()
@@ -82,7 +82,7 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Consumer<Reply> done) {
+      Consumer<Reply> onReply) {
     byte[] content = body == null ? new byte[0] : body;
     FullHttpRequest request =
         new DefaultFullHttpRequest(
@@ -95,18 +95,18 @@
     if (body != null) {
       request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
     }
-    Call call = new Call(done);
+    Call call = new Call(onReply);
     call.timer = loop.after(timeoutMs, call::timeout);
-    ArrayDeque<Connection> idleConnections = idle.get(address);
+    ArrayDeque<Connection> idleConnections = idleByAddress.get(address);
     while (idleConnections != null && !idleConnections.isEmpty()) {
       Connection connection = idleConnections.pollLast();
       idleWorkerConnections.remove(connection);
       if (connection.channel.isActive()) {
-        connection.start(call, request);
+        connection.sendRequest(call, request);
         return;
       }
     }
-    if (services.contains(address)) {
+    if (serviceAddresses.contains(address)) {
       connect(address, call, request);
     } else {
       waitingConnects.addLast(() -> connect(address, call, request));
@@ -119,10 +119,10 @@
       waitingConnects.pollFirst().run();
     }
     if (!waitingConnects.isEmpty() && !idleWorkerConnections.isEmpty()) {
-      // Once it is closed, the next request may connect.
-      Connection oldest = idleWorkerConnections.iterator().next();
-      idleWorkerConnections.remove(oldest);
-      Channels.close(oldest.channel);
+      // When it has closed, the next request may connect.
+      Connection longestIdle = idleWorkerConnections.iterator().next();
+      idleWorkerConnections.remove(longestIdle);
+      Channels.close(longestIdle.channel);
     }
   }
 
@@ -133,18 +133,18 @@
     }
     HostAndPort target = HostAndPort.fromString(address);
     Connection connection = new Connection(address);
-    boolean isWorker = !services.contains(address);
-    workerConnections += isWorker ? 1 : 0;
+    boolean toWorker = !serviceAddresses.contains(address);
+    workerConnections += toWorker ? 1 : 0;
     bootstrap
         .clone()
         .handler(pipelineOf(connection))
         .connect(new InetSocketAddress(target.getHost(), target.getPort()))
         .addListener(
             (ChannelFuture future) -> {
-              if (isWorker) {
+              if (toWorker) {
                 future.channel().closeFuture().addListener(closed -> workerConnectionClosed());
               }
-              connected(future, connection, call, request);
+              connectCompleted(future, connection, call, request);
             });
   }
 
@@ -165,7 +165,7 @@
     connectWaiting();
   }
 
-  private static void connected(
+  private static void connectCompleted(
       ChannelFuture future, Connection connection, Call call, FullHttpRequest request) {
     if (!future.isSuccess()) {
       Channels.close(future.channel());
@@ -175,23 +175,23 @@
     }
     connection.channel = future.channel();
     if (call.finished) {
-      // The caller got NOT_SENT at its timeout, so the request may not be sent any more.
+      // The caller got NOT_SENT at its timeout, so the request must not be sent any more.
       request.release();
-      connection.park();
+      connection.returnToPool();
     } else {
-      connection.start(call, request);
+      connection.sendRequest(call, request);
     }
   }
 
-  /** One request; answered exactly once. */
+  /** A request; calls back exactly once. */
   private static final class Call {
-    private final Consumer<Reply> done;
+    private final Consumer<Reply> onReply;
     private Connection connection;
     private EventLoop.Timer timer;
     private boolean finished;
 
-    Call(Consumer<Reply> done) {
-      this.done = done;
+    Call(Consumer<Reply> onReply) {
+      this.onReply = onReply;
     }
 
     void timeout() {
@@ -201,10 +201,10 @@
       if (connection == null) {
         finish(NOT_SENT);
       } else {
-        Connection timedOut = connection;
+        Connection timedOutConnection = connection;
         finish(UNKNOWN);
-        timedOut.call = null;
-        Channels.close(timedOut.channel);
+        timedOutConnection.call = null;
+        Channels.close(timedOutConnection.channel);
       }
     }
 
@@ -215,9 +215,9 @@
           timer.cancel();
         }
         try {
-          done.accept(reply);
+          onReply.accept(reply);
         } catch (RuntimeException e) {
-          // An exception of the receiver must not be handled as a broken connection.
+          // An exception of the callback must not be handled as a broken connection.
           log.error("response handling failed", e);
         }
       }
@@ -233,15 +233,15 @@
       this.address = address;
     }
 
-    void start(Call next, FullHttpRequest request) {
-      call = next;
-      next.connection = this;
+    void sendRequest(Call newCall, FullHttpRequest request) {
+      call = newCall;
+      newCall.connection = this;
       Channels.send(channel, request);
     }
 
-    void park() {
-      idle.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(this);
-      if (!services.contains(address)) {
+    void returnToPool() {
+      idleByAddress.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(this);
+      if (!serviceAddresses.contains(address)) {
         idleWorkerConnections.add(this);
         connectWaiting();
       }
@@ -249,33 +249,33 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-      Call finished = call;
+      Call answeredCall = call;
       call = null;
       Reply reply = new Reply(response.status().code(), ByteBufUtil.getBytes(response.content()));
-      if (HttpUtil.isKeepAlive(response) && finished != null) {
-        park();
+      if (HttpUtil.isKeepAlive(response) && answeredCall != null) {
+        returnToPool();
       } else {
         Channels.close(ctx.channel());
       }
-      if (finished != null) {
-        finished.finish(reply);
+      if (answeredCall != null) {
+        answeredCall.finish(reply);
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       idleWorkerConnections.remove(this);
-      ArrayDeque<Connection> idleConnections = idle.get(address);
+      ArrayDeque<Connection> idleConnections = idleByAddress.get(address);
       if (idleConnections != null) {
         idleConnections.remove(this);
         if (idleConnections.isEmpty()) {
-          idle.remove(address);
+          idleByAddress.remove(address);
         }
       }
-      Call lost = call;
+      Call unansweredCall = call;
       call = null;
-      if (lost != null) {
-        lost.finish(UNKNOWN);
+      if (unansweredCall != null) {
+        unansweredCall.finish(UNKNOWN);
       }
     }
 
--- a/src/main/java/org/sandford/net/NettyHttpServer.java
+++ b/src/main/java/org/sandford/net/NettyHttpServer.java
@@ -34,45 +34,48 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * HTTP server for users, workers and health checks; one function handles all requests, and may
- * answer later.
+ * HTTP server for users, workers and health checks; one handler answers all requests, at once or
+ * later.
  *
- * <p>Connections are limited, since a last remaining controller gets the heartbeats of all workers.
- * Workers keep only a fraction of the connections; one above it is closed after its response. At
- * the limit, the connection that was idle the longest is closed, a worker's before a user's.
+ * <p>Connections are limited, since the last remaining controller gets the heartbeats of all
+ * workers. Workers may keep only a fraction of the connections; one above it is closed after its
+ * response. At the limit, the connection that was idle the longest is closed, a worker's before a
+ * user's.
  *
  * <p>Runs on the event loop.
  */
 public final class NettyHttpServer {
-  /** Answers a request by calling back once. */
+  /** Answers requests through a callback. */
   public interface Requests {
-    /** Handles a request; {@code answer} must be called exactly once. */
-    void take(String method, String path, byte[] body, Consumer<ApiResponse> answer);
+    /** Handles a request; {@code responder} must be called exactly once. */
+    void handle(String method, String path, byte[] body, Consumer<ApiResponse> responder);
   }
 
   private static final Logger log = LoggerFactory.getLogger(NettyHttpServer.class);
   private final NettyLoop loop;
-  private final Requests requests;
+  private final Requests requestHandler;
   private final int maxConnections;
   private final int maxWorkerConnections;
   private final Set<Connection> connections = new LinkedHashSet<>();
 
-  /** Connections without a request under way, the one that was idle the longest first. */
-  private final Set<Connection> idleWorkers = new LinkedHashSet<>();
+  /** Worker connections without a request in progress, the one idle the longest first. */
+  private final Set<Connection> idleWorkerConnections = new LinkedHashSet<>();
+
+  /** The same for user connections, and for new ones before their first request. */
+  private final Set<Connection> idleUserConnections = new LinkedHashSet<>();
 
-  private final Set<Connection> idleUsers = new LinkedHashSet<>();
   private int workerConnections;
 
-  /** A server for at most so many connections, which does not listen yet. */
-  public NettyHttpServer(NettyLoop loop, int maxConnections, Requests requests) {
+  /** Creates a server for at most {@code maxConnections}, which does not listen yet. */
+  public NettyHttpServer(NettyLoop loop, int maxConnections, Requests requestHandler) {
     this.loop = loop;
     this.maxConnections = maxConnections;
     this.maxWorkerConnections = (int) (maxConnections * ApiConstants.WORKER_CONNECTION_SHARE);
-    this.requests = requests;
+    this.requestHandler = requestHandler;
   }
 
   /**
-   * Listens from now on; blocks until the port is bound.
+   * Starts listening; blocks until the port is bound.
    *
    * @throws IllegalStateException if the port cannot be bound
    */
@@ -104,22 +107,23 @@
     }
   }
 
-  private static FullHttpResponse response(ApiResponse answer) {
+  private static FullHttpResponse toHttpResponse(ApiResponse apiResponse) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
-            HttpResponseStatus.valueOf(answer.status()),
-            Unpooled.wrappedBuffer(Json.bytes(answer.body())));
+            HttpResponseStatus.valueOf(apiResponse.status()),
+            Unpooled.wrappedBuffer(Json.bytes(apiResponse.body())));
     response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
     response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-    if (answer.retryAfterS() > 0) {
-      response.headers().setInt(HttpHeaderNames.RETRY_AFTER, answer.retryAfterS());
+    if (apiResponse.retryAfterS() > 0) {
+      response.headers().setInt(HttpHeaderNames.RETRY_AFTER, apiResponse.retryAfterS());
     }
     return response;
   }
 
   /**
-   * Collects bodies; one that is too large is a malformed request (400), and ends the connection.
+   * Collects bodies; refuses one that is too large as a malformed request (400) and closes the
+   * connection.
    */
   private static final class BodyAggregator extends HttpObjectAggregator {
     BodyAggregator() {
@@ -129,7 +133,7 @@
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
       FullHttpResponse refusal =
-          response(
+          toHttpResponse(
               ApiResponse.refuse(
                   HttpStatus.BAD_REQUEST,
                   "the body is larger than " + ApiConstants.MAX_BODY_BYTES + " bytes"));
@@ -138,55 +142,56 @@
     }
   }
 
-  private void closeIdlest() {
-    Set<Connection> from = idleWorkers.isEmpty() ? idleUsers : idleWorkers;
-    if (!from.isEmpty()) {
-      Connection oldest = from.iterator().next();
-      from.remove(oldest);
-      Channels.close(oldest.channel);
+  private void closeLongestIdle() {
+    Set<Connection> candidates =
+        idleWorkerConnections.isEmpty() ? idleUserConnections : idleWorkerConnections;
+    if (!candidates.isEmpty()) {
+      Connection longestIdle = candidates.iterator().next();
+      candidates.remove(longestIdle);
+      Channels.close(longestIdle.channel);
     }
   }
 
   private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private Channel channel;
-    private boolean ofWorker;
+    private boolean usedByWorker;
     private boolean closeAfterResponse;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       channel = ctx.channel();
       if (connections.size() >= maxConnections) {
-        closeIdlest();
-        // Its request is answered in any case; then the connection is closed.
+        closeLongestIdle();
+        // The new connection still gets one response, and is closed after it.
         closeAfterResponse = true;
       }
       connections.add(this);
-      idleUsers.add(this);
+      idleUserConnections.add(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       connections.remove(this);
-      idleUsers.remove(this);
-      idleWorkers.remove(this);
-      workerConnections -= ofWorker ? 1 : 0;
+      idleUserConnections.remove(this);
+      idleWorkerConnections.remove(this);
+      workerConnections -= usedByWorker ? 1 : 0;
     }
 
     private void requestStarted(boolean isHeartbeat) {
-      idleUsers.remove(this);
-      idleWorkers.remove(this);
-      if (isHeartbeat != ofWorker) {
-        ofWorker = isHeartbeat;
+      idleUserConnections.remove(this);
+      idleWorkerConnections.remove(this);
+      if (isHeartbeat != usedByWorker) {
+        usedByWorker = isHeartbeat;
         workerConnections += isHeartbeat ? 1 : -1;
       }
     }
 
-    /** Whether the connection stays open after an answer. */
-    private boolean staysOpen() {
-      if (closeAfterResponse || (ofWorker && workerConnections > maxWorkerConnections)) {
+    /** Marks the connection as idle and returns true, unless it must close after its response. */
+    private boolean markIdleUnlessClosing() {
+      if (closeAfterResponse || (usedByWorker && workerConnections > maxWorkerConnections)) {
         return false;
       }
-      (ofWorker ? idleWorkers : idleUsers).add(this);
+      (usedByWorker ? idleWorkerConnections : idleUserConnections).add(this);
       return true;
     }
 
@@ -199,16 +204,20 @@
       }
       requestStarted(request.uri().startsWith(ApiConstants.HEARTBEAT_PATH));
       byte[] body = ByteBufUtil.getBytes(request.content());
-      requests.take(
-          request.method().name(), request.uri(), body, answer -> write(ctx, answer, keepAlive));
+      requestHandler.handle(
+          request.method().name(),
+          request.uri(),
+          body,
+          apiResponse -> write(ctx, apiResponse, keepAlive));
     }
 
-    private void write(ChannelHandlerContext ctx, ApiResponse answer, boolean requested) {
+    private void write(
+        ChannelHandlerContext ctx, ApiResponse apiResponse, boolean keepAliveRequested) {
       if (!channel.isActive()) {
         return;
       }
-      boolean keepAlive = requested && staysOpen();
-      FullHttpResponse response = response(answer);
+      boolean keepAlive = keepAliveRequested && markIdleUnlessClosing();
+      FullHttpResponse response = toHttpResponse(apiResponse);
       if (!keepAlive) {
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
       }
--- a/src/main/java/org/sandford/peer/PeerLinks.java
+++ b/src/main/java/org/sandford/peer/PeerLinks.java
@@ -18,37 +18,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The links between controllers. Each dials every other: requests go out on the outbound link, and
- * responses and machine snapshots come back on it. A controller reaches itself through the same
- * calls.
+ * Manages the links between this controller and the others. Each controller dials every other: it
+ * sends requests on the outbound link, and receives responses and machine snapshots on the same
+ * link. Requests to the controller itself go through the same methods.
  *
- * <p>A newer link from the same peer ends the older one before anything of it is read, so frames
- * that a network partition held back on an old connection change nothing. Messages of one link
- * arrive in order; those that were sent when a link ends may be lost without notice.
+ * <p>A newer link from a peer closes the older one before a request on the newer one is handled, so
+ * frames that a network partition delayed on the old connection have no effect. Messages of one
+ * link arrive in order; those in flight when a link closes may be lost without notice.
  *
  * <p>Runs on the event loop.
  */
 public final class PeerLinks {
   private static final Logger log = LoggerFactory.getLogger(PeerLinks.class);
 
-  /** Handles the requests of other controllers, and of this one to itself. */
+  /** Handles requests of other controllers, and those of this controller to itself. */
   public interface RequestHandler {
-    /** Handles a request; {@code answer} may be called any number of times, also later. */
-    void handleRequest(String from, Object message, Consumer<Object> answer);
+    /** Handles a request; {@code reply} may be called any number of times, also later. */
+    void handleRequest(String sender, Object request, Consumer<Object> reply);
 
-    /** The messages that a peer needs first on a new link. */
+    /** Returns the messages to send to a peer first on a new link. */
     Iterable<Object> greeting();
   }
 
-  /** Handles responses, and what other controllers publish. */
+  /** Handles responses, published messages and changes of the links that carry requests. */
   public interface ResponseHandler {
     /** Handles a response or a published message. */
-    void handleResponse(String from, Object message);
+    void handleResponse(String sender, Object response);
 
-    /** Requests to the peer are sent from now on. */
+    /** Called when the link is up: requests to the peer are sent from now on. */
     void linkUp(String peer);
 
-    /** Requests to the peer are refused from now on. */
+    /** Called when the link is down: requests to the peer are refused from now on. */
     void linkDown(String peer);
   }
 
@@ -68,18 +68,20 @@
   private final Map<String, OutboundLink> outbound = new LinkedHashMap<>();
   private final Map<String, InboundLink> inbound = new LinkedHashMap<>();
 
-  /** The newest greeting of each peer, kept when its link ends: a late older one stays refused. */
+  /** Newest Hello of each peer, kept after its link closes, so that a late older one is refused. */
   private final Map<String, Hello> newestHellos = new LinkedHashMap<>();
 
   private RequestHandler requestHandler;
   private ResponseHandler responseHandler;
-  private long lastSession;
+
+  /** Number of the last Hello sent; within an incarnation, a peer accepts only rising numbers. */
+  private long lastSessionNumber;
 
   /**
-   * Links to the other controllers that the settings name.
+   * Creates links to the other controllers that the settings name.
    *
-   * @param incarnation the incarnation of this controller; 0 until it has one, and nothing is
-   *     dialled before
+   * @param incarnation supplies the number of this controller's incarnation; 0 until it has one,
+   *     and no peer is dialled until then
    */
   public PeerLinks(
       EventLoop loop, Settings settings, PeerTransport transport, LongSupplier incarnation) {
@@ -92,7 +94,7 @@
     }
   }
 
-  /** Listens and dials; the handlers get all that arrives from now on. */
+  /** Starts listening and dialling; the handlers receive all messages from now on. */
   public void start(RequestHandler requests, ResponseHandler responses) {
     requestHandler = requests;
     responseHandler = responses;
@@ -112,75 +114,75 @@
     return label.equals(settings.label());
   }
 
-  /** Whether requests to the controller are sent; always so for this one. */
+  /** Returns whether requests to the controller are sent; always true for this controller. */
   public boolean isLive(String label) {
     if (isSelf(label)) {
       return true;
     }
-    OutboundLink out = outbound.get(label);
-    return out != null && out.state == OutboundState.LIVE;
+    OutboundLink link = outbound.get(label);
+    return link != null && link.state == OutboundState.LIVE;
   }
 
-  /** The incarnation of the peer at the handshake of the last link to it, or an empty text. */
+  /** Returns the peer's incarnation id in the last handshake on a link to it, or an empty text. */
   public String incarnationIdOf(String label) {
-    OutboundLink out = outbound.get(label);
-    return out == null ? "" : out.incarnationId;
+    OutboundLink link = outbound.get(label);
+    return link == null ? "" : link.incarnationId;
   }
 
-  /** Whether any other controller can be reached. */
+  /** Returns whether the link to any other controller is live. */
   public boolean anyLive() {
-    return outbound.values().stream().anyMatch(out -> out.state == OutboundState.LIVE);
+    return outbound.values().stream().anyMatch(link -> link.state == OutboundState.LIVE);
   }
 
-  /** Sends a request, without any guarantee that it arrives; false when there is no live link. */
-  public boolean request(String label, Object message) {
+  /** Sends a request, which may still be lost; returns false if no link to the receiver is live. */
+  public boolean request(String label, Object request) {
     if (isSelf(label)) {
       loop.execute(
           () ->
               requestHandler.handleRequest(
                   label,
-                  message,
-                  answer -> loop.execute(() -> responseHandler.handleResponse(label, answer))));
+                  request,
+                  reply -> loop.execute(() -> responseHandler.handleResponse(label, reply))));
       return true;
     }
-    OutboundLink out = outbound.get(label);
-    if (out == null || out.state != OutboundState.LIVE) {
+    OutboundLink link = outbound.get(label);
+    if (link == null || link.state != OutboundState.LIVE) {
       return false;
     }
-    out.connection.send(codec.encode(message));
+    link.connection.send(codec.encode(request));
     return true;
   }
 
-  /** Sends a request to all other controllers with a live link. */
-  public void requestAll(Object message) {
-    byte[] frame = codec.encode(message);
+  /** Sends a request to every other controller to which a link is live. */
+  public void requestAll(Object request) {
+    byte[] frame = codec.encode(request);
     outbound.values().stream()
-        .filter(o -> o.state == OutboundState.LIVE)
-        .forEach(o -> o.connection.send(frame));
+        .filter(link -> link.state == OutboundState.LIVE)
+        .forEach(link -> link.connection.send(frame));
   }
 
-  /** Sends a message to all controllers with a link to this one, and to this one. */
+  /** Sends a message to every controller that has a link to this one, and to this one. */
   public void publish(Object message) {
     if (!inbound.isEmpty()) {
       byte[] frame = codec.encode(message);
-      inbound.values().forEach(in -> in.connection.send(frame));
+      inbound.values().forEach(link -> link.connection.send(frame));
     }
     loop.execute(() -> responseHandler.handleResponse(settings.label(), message));
   }
 
   private void maintainLinks() {
-    long now = loop.millis();
-    for (OutboundLink out : outbound.values()) {
-      if (out.state == OutboundState.DISCONNECTED && incarnation.getAsLong() > 0) {
-        out.dial();
-      } else if (out.state != OutboundState.DISCONNECTED
-          && now - out.lastReceivedAt > PeerConstants.PEER_TIMEOUT_MS) {
-        out.end("no message in time");
+    long nowMillis = loop.millis();
+    for (OutboundLink link : outbound.values()) {
+      if (link.state == OutboundState.DISCONNECTED && incarnation.getAsLong() > 0) {
+        link.dial();
+      } else if (link.state != OutboundState.DISCONNECTED
+          && nowMillis - link.lastReceivedAtMillis > PeerConstants.PEER_TIMEOUT_MS) {
+        link.close("no message in time");
       }
     }
-    for (InboundLink in : List.copyOf(inbound.values())) {
-      if (now - in.lastReceivedAt > PeerConstants.PEER_TIMEOUT_MS) {
-        in.end("no message in time");
+    for (InboundLink link : List.copyOf(inbound.values())) {
+      if (nowMillis - link.lastReceivedAtMillis > PeerConstants.PEER_TIMEOUT_MS) {
+        link.close("no message in time");
       }
     }
   }
@@ -190,21 +192,21 @@
     private final Settings.Other peer;
     private OutboundState state = OutboundState.DISCONNECTED;
     private Connection connection;
-    private long lastReceivedAt;
+    private long lastReceivedAtMillis;
     private String incarnationId = "";
-    private int attempt;
+    private int currentAttempt;
 
     OutboundLink(Settings.Other peer) {
       this.peer = peer;
     }
 
-    private void transitionTo(OutboundState next) {
-      boolean was = state == OutboundState.LIVE;
-      state = next;
-      if (next == OutboundState.LIVE) {
+    private void transitionTo(OutboundState nextState) {
+      boolean wasLive = state == OutboundState.LIVE;
+      state = nextState;
+      if (nextState == OutboundState.LIVE) {
         log.info("peer link up peer={}", peer.label());
         responseHandler.linkUp(peer.label());
-      } else if (was) {
+      } else if (wasLive) {
         log.info("peer link down peer={}", peer.label());
         responseHandler.linkDown(peer.label());
       }
@@ -212,15 +214,15 @@
 
     void dial() {
       transitionTo(OutboundState.CONNECTING);
-      lastReceivedAt = loop.millis();
-      int ownAttempt = ++attempt;
-      // Each attempt has a handler of its own, so a late event of an older one changes nothing.
+      lastReceivedAtMillis = loop.millis();
+      int ownAttempt = ++currentAttempt;
+      // Each attempt has its own handler, so that a late event of an older attempt has no effect.
       transport.dial(
           peer.address().toString(),
           new PeerTransport.Handler() {
             @Override
             public void opened(Connection c) {
-              if (ownAttempt == attempt) {
+              if (ownAttempt == currentAttempt) {
                 OutboundLink.this.opened(c);
               } else {
                 c.close();
@@ -229,14 +231,14 @@
 
             @Override
             public void frame(Connection c, byte[] bytes) {
-              if (ownAttempt == attempt) {
+              if (ownAttempt == currentAttempt) {
                 OutboundLink.this.frame(c, bytes);
               }
             }
 
             @Override
             public void closed(Connection c) {
-              if (ownAttempt == attempt) {
+              if (ownAttempt == currentAttempt) {
                 OutboundLink.this.closed(c);
               }
             }
@@ -252,7 +254,7 @@
               new Hello(
                   settings.label(),
                   incarnation.getAsLong(),
-                  ++lastSession,
+                  ++lastSessionNumber,
                   FrameCodec.PRODUCTION_SCHEMA_FINGERPRINT)));
     }
 
@@ -262,10 +264,10 @@
       try {
         message = codec.decode(bytes);
       } catch (IOException e) {
-        end("it sent a broken frame: " + e.getMessage());
+        close("it sent a broken frame: " + e.getMessage());
         return;
       }
-      lastReceivedAt = loop.millis();
+      lastReceivedAtMillis = loop.millis();
       if (message instanceof Welcome welcome && state == OutboundState.HANDSHAKING) {
         incarnationId = welcome.label + "#" + welcome.incarnation;
         transitionTo(OutboundState.LIVE);
@@ -276,19 +278,19 @@
 
     @Override
     public void closed(Connection c) {
-      attempt++;
+      currentAttempt++;
       connection = null;
       transitionTo(OutboundState.DISCONNECTED);
     }
 
-    void end(String why) {
-      log.debug("outbound peer link closed peer={} reason=\"{}\"", peer.label(), why);
-      attempt++;
-      Connection old = connection;
+    void close(String reason) {
+      log.debug("outbound peer link closed peer={} reason=\"{}\"", peer.label(), reason);
+      currentAttempt++;
+      Connection oldConnection = connection;
       connection = null;
       transitionTo(OutboundState.DISCONNECTED);
-      if (old != null) {
-        old.close();
+      if (oldConnection != null) {
+        oldConnection.close();
       }
     }
   }
@@ -296,88 +298,90 @@
   /** A link that a peer dialled. */
   private final class InboundLink implements PeerTransport.Handler {
     private Connection connection;
-    private String label = "";
+    private String peerLabel = "";
     private Hello hello;
-    private long lastReceivedAt;
-    private boolean ended;
+    private long lastReceivedAtMillis;
+    private boolean isClosed;
 
     @Override
     public void opened(Connection c) {
       connection = c;
-      lastReceivedAt = loop.millis();
+      lastReceivedAtMillis = loop.millis();
     }
 
     @Override
     public void frame(Connection c, byte[] bytes) {
-      if (ended) {
+      if (isClosed) {
         return;
       }
       Object message;
       try {
         message = codec.decode(bytes);
       } catch (IOException e) {
-        end("it sent a broken frame: " + e.getMessage());
+        close("it sent a broken frame: " + e.getMessage());
         return;
       }
-      lastReceivedAt = loop.millis();
+      lastReceivedAtMillis = loop.millis();
       if (hello == null) {
-        acceptHello(message);
+        handleHello(message);
       } else {
-        requestHandler.handleRequest(label, message, this::answer);
+        requestHandler.handleRequest(peerLabel, message, this::sendToPeer);
       }
     }
 
-    private void answer(Object message) {
-      if (!ended) {
+    private void sendToPeer(Object message) {
+      if (!isClosed) {
         connection.send(codec.encode(message));
       }
     }
 
-    private void acceptHello(Object message) {
+    private void handleHello(Object message) {
       if (!(message instanceof Hello received)
           || received.fingerprint != FrameCodec.PRODUCTION_SCHEMA_FINGERPRINT
           || !outbound.containsKey(received.label)) {
-        end("it did not greet as a controller with the same schema");
+        close("it did not greet as a controller with the same schema");
         return;
       }
-      Hello known = newestHellos.get(received.label);
-      if (known != null
-          && (received.incarnation < known.incarnation
-              || (received.incarnation == known.incarnation
-                  && received.session <= known.session))) {
-        end("a newer link of " + received.label + " is known");
+      Hello newest = newestHellos.get(received.label);
+      if (newest != null
+          && (received.incarnation < newest.incarnation
+              || (received.incarnation == newest.incarnation
+                  && received.session <= newest.session))) {
+        close("a newer link of " + received.label + " is known");
         return;
       }
       newestHellos.put(received.label, received);
-      InboundLink before = inbound.get(received.label);
-      if (before != null) {
-        before.end("a newer link took its place");
+      InboundLink olderLink = inbound.get(received.label);
+      if (olderLink != null) {
+        olderLink.close("a newer link took its place");
       }
       hello = received;
-      label = received.label;
-      inbound.put(label, this);
-      answer(new Welcome(settings.label(), incarnation.getAsLong()));
-      requestHandler.greeting().forEach(this::answer);
+      peerLabel = received.label;
+      inbound.put(peerLabel, this);
+      sendToPeer(new Welcome(settings.label(), incarnation.getAsLong()));
+      requestHandler.greeting().forEach(this::sendToPeer);
     }
 
     @Override
     public void closed(Connection c) {
-      if (!ended) {
-        ended = true;
-        inbound.remove(label, this);
+      if (!isClosed) {
+        isClosed = true;
+        inbound.remove(peerLabel, this);
       }
     }
 
-    void end(String why) {
+    void close(String reason) {
       log.info(
-          "inbound peer link closed peer={} reason=\"{}\"", label.isEmpty() ? "none" : label, why);
-      ended = true;
-      inbound.remove(label, this);
+          "inbound peer link closed peer={} reason=\"{}\"",
+          peerLabel.isEmpty() ? "none" : peerLabel,
+          reason);
+      isClosed = true;
+      inbound.remove(peerLabel, this);
       connection.close();
     }
   }
 
-  /** A snapshot update without machines, which keeps a link from timing out. */
+  /** Creates a snapshot update without machines, which keeps a link from timing out. */
   public static SnapshotUpdate heartbeat(boolean sessionLeaseValid) {
     return new SnapshotUpdate(false, List.of(), List.of(), sessionLeaseValid);
   }
--- a/src/main/java/org/sandford/runtime/TokenBucket.java
+++ b/src/main/java/org/sandford/runtime/TokenBucket.java
@@ -3,63 +3,62 @@
 import org.sandford.constants.StoreConstants;
 
 /**
- * A token bucket that holds one second's worth of tokens, on the event loop's clock. Its balance
- * may become negative, so that large requests are not starved by small ones. Belongs to the event
- * loop.
+ * A token bucket that holds one second's worth of tokens, by the event loop's clock. Its balance
+ * may become negative, so that small requests do not starve large ones. Runs on the event loop.
  */
 public final class TokenBucket {
   private final EventLoop loop;
-  private final double perSecond;
+  private final double tokensPerSecond;
   private double tokens;
-  private long filledAt;
+  private long refilledAtNanos;
 
-  /** Makes a full bucket that gains {@code perSecond} tokens a second. */
-  public TokenBucket(EventLoop loop, double perSecond) {
+  /** Creates a full bucket that gains {@code tokensPerSecond} tokens a second. */
+  public TokenBucket(EventLoop loop, double tokensPerSecond) {
     this.loop = loop;
-    this.perSecond = perSecond;
+    this.tokensPerSecond = tokensPerSecond;
     this.tokens = most();
-    this.filledAt = loop.nanos();
+    this.refilledAtNanos = loop.nanos();
   }
 
-  private void fill() {
-    long now = loop.nanos();
-    tokens = Math.min(most(), tokens + perSecond * (now - filledAt) / 1e9);
-    filledAt = now;
+  private void refill() {
+    long nowNanos = loop.nanos();
+    tokens = Math.min(most(), tokens + tokensPerSecond * (nowNanos - refilledAtNanos) / 1e9);
+    refilledAtNanos = nowNanos;
   }
 
-  /** The most tokens that it can hold. */
+  /** Returns the most tokens that the bucket can hold. */
   public double most() {
-    return Math.max(1, perSecond);
+    return Math.max(1, tokensPerSecond);
   }
 
   /**
-   * Whether a request for {@code count} tokens may go now. A large one needs only a part of them,
-   * and those that follow wait for the rest.
+   * Returns whether a request for {@code count} tokens may be sent now. A large request needs only
+   * part of its tokens; the requests after it wait for the rest.
    */
   public boolean allows(double count) {
-    return holds(sufficientFor(count));
+    return holds(requiredTokens(count));
   }
 
-  /** Whether at least {@code count} tokens are left. */
+  /** Returns whether at least {@code count} tokens are left. */
   public boolean holds(double count) {
-    fill();
+    refill();
     return tokens >= count;
   }
 
-  private double sufficientFor(double count) {
+  private double requiredTokens(double count) {
     return Math.min(count, Math.max(1, most() * StoreConstants.BUCKET_SUFFICIENT_SHARE));
   }
 
-  /** Takes the tokens; a negative balance delays what follows. */
+  /** Takes the tokens; a negative balance delays the requests that follow. */
   public void take(double count) {
-    fill();
+    refill();
     tokens -= count;
   }
 
-  /** Milliseconds until a request for {@code count} tokens may go. */
+  /** Returns the milliseconds until a request for {@code count} tokens may be sent. */
   public long waitMillis(double count) {
-    fill();
-    double missing = sufficientFor(count) - tokens;
-    return missing <= 0 ? 0 : (long) Math.ceil(missing * 1000 / perSecond);
+    refill();
+    double missingTokens = requiredTokens(count) - tokens;
+    return missingTokens <= 0 ? 0 : (long) Math.ceil(missingTokens * 1000 / tokensPerSecond);
   }
 }
