--- a/src/test/java/org/sandford/architecture/ArchitecturePageTest.java
+++ b/src/test/java/org/sandford/architecture/ArchitecturePageTest.java
@@ -17,9 +17,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Each class that the architecture, design and entry pages name in `backticks` exists. */
+/**
+ * Checks that each class named in `backticks` on the architecture, design and entry pages exists.
+ */
 class ArchitecturePageTest {
-  /** A type in Java's case, after lower-case package names and before members, if any. */
+  /** Matches a type name in upper camel case, with or without its packages and members. */
   private static final Pattern TYPE_NAME =
       Pattern.compile("`(?:[a-z]+\\.)*([A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*)(?:\\.\\w+)*`");
 
--- a/src/test/java/org/sandford/architecture/OperationsPageTest.java
+++ b/src/test/java/org/sandford/architecture/OperationsPageTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Each log line and audit event that docs/operations.md tells operators of exists in the code. */
+/** Checks that each log line and audit event on docs/operations.md exists in the code. */
 class OperationsPageTest {
   private static final Path PAGE = Path.of("docs/operations.md");
   private static final Path SOURCES = Path.of("src/main/java");
 
-  /** What the page writes for a value of a line. */
+  /** Stands for any value in a log line on the page. */
   private static final String ANY_VALUE = "…";
 
   private static final Pattern QUOTED = Pattern.compile("`([^`]+)`");
@@ -56,28 +56,28 @@
   @Test
   void everyLogLineOfThePageIsWritten() throws IOException {
     List<String> lines = quotedIn("| line |", 1);
-    assertFalse(lines.isEmpty(), "the page has a table of log lines");
+    assertFalse(lines.isEmpty(), "the page has no table of log lines");
     assertEquals(List.of(), lines.stream().filter(line -> !isWritten(line, literals)).toList());
   }
 
   @Test
   void everyNewTextOfARenamedLineIsWritten() throws IOException {
     List<String> lines = quotedIn("| old |", 2);
-    assertFalse(lines.isEmpty(), "the page has a table of renamed lines");
+    assertFalse(lines.isEmpty(), "the page has no table of renamed lines");
     assertEquals(List.of(), lines.stream().filter(line -> !isWritten(line, literals)).toList());
   }
 
   @Test
   void everyAuditEventOfThePageIsWritten() throws IOException {
     List<String> events = quotedIn("| event |", 1);
-    assertFalse(events.isEmpty(), "the page has a table of audit events");
+    assertFalse(events.isEmpty(), "the page has no table of audit events");
     assertEquals(List.of(), events.stream().filter(event -> !isAnEvent(event)).toList());
   }
 
   /**
-   * The texts in backticks in a column of the table that begins with this heading.
+   * Returns the texts in backticks in a column of the table that begins with this heading.
    *
-   * @param column counts from 1
+   * @param column the number of the column, from 1
    */
   private static List<String> quotedIn(String heading, int column) throws IOException {
     List<String> texts = new ArrayList<>();
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Whether one literal has all fixed parts of the line, in order. It begins and ends as the line
-   * does, unless the line begins or ends with a value.
+   * Returns whether a literal has all fixed parts of the line, in order, and begins and ends as the
+   * line does, unless the line begins or ends with a value.
    */
   private static boolean isWritten(String line, List<String> literals) {
     String fixedParts =
--- a/src/test/java/org/sandford/architecture/PackageDependencyTest.java
+++ b/src/test/java/org/sandford/architecture/PackageDependencyTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holds the layer order of the packages: a package needs only packages of lower layers, and
- * packages of one layer do not need each other.
+ * Checks the layers of the packages: a package depends only on packages of lower layers, and
+ * packages of one layer do not depend on each other.
  *
- * <p>The rules read class files, in which the compiler has replaced constants by their values, so
- * an import that is used for nothing but a constant is not seen.
+ * <p>The rules read class files, in which the compiler has replaced constants by their values, so a
+ * dependency on nothing but a constant is not detected.
  */
 class PackageDependencyTest {
   private static final String ROOT = "org.sandford.";
 
-  /** From the top to the bottom. Sub-packages belong to the layer of their parent. */
+  /** The layers from top to bottom. Sub-packages belong to the layer of their parent. */
   private static final List<List<String>> LAYERS =
       List.of(
           List.of("cli"),
--- a/src/test/java/org/sandford/knownred/KnownRedExtension.java
+++ b/src/test/java/org/sandford/knownred/KnownRedExtension.java
@@ -11,12 +11,12 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Lets the build pass over the tests that {@code KNOWN-RED.txt} lists, and prints each. Any other
- * test that fails still fails the build, and so does a listed one that passes: it has to be taken
- * off the list.
+ * Aborts each failing test that {@code KNOWN-RED.txt} lists, so that it does not fail the build,
+ * and prints it. Any other failing test still fails the build. So does a listed test that passes,
+ * because it has to be removed from the list.
  */
 public final class KnownRedExtension implements InvocationInterceptor {
-  /** Configuration parameter that names another list; for tests of this class. */
+  /** Configuration parameter with the path of another list, for the tests of this class. */
   static final String FILE_PARAMETER = "sandford.known-red";
 
   private static final String FILE = "KNOWN-RED.txt";
@@ -47,14 +47,14 @@
       return;
     }
     if (passes(invocation)) {
-      throw new AssertionFailedError(test + " passes and must be taken off " + file);
+      throw new AssertionFailedError(test + " passes and must be removed from " + file);
     }
     String known = "KNOWN RED: " + test + " | " + listed.get().cause();
     System.out.println(known + " | " + listed.get().issue());
     throw new TestAbortedException(known);
   }
 
-  /** The class of a test; a dynamic test has none itself, but its factory has. */
+  /** Returns the class of a test; a dynamic test has none itself, but its factory has. */
   private static Class<?> testClass(ExtensionContext context) {
     return context.getTestClass().orElseGet(() -> testClass(context.getParent().orElseThrow()));
   }
--- a/src/test/java/org/sandford/knownred/KnownRedList.java
+++ b/src/test/java/org/sandford/knownred/KnownRedList.java
@@ -10,13 +10,13 @@
 import java.util.Optional;
 
 /**
- * The tests that are known to fail for a fault that is not mended yet. The file has one line each:
- * the test, the cause and the issue, separated by {@code |}; lines that begin with {@code #} are
- * comments. A test is named by its class without the package and its display name, separated by a
+ * Lists the tests that are known to fail because of a fault that is not fixed yet. Each line of the
+ * file has the test, the cause and the issue, separated by {@code |}; lines that begin with {@code
+ * #} are comments. A test is named by its simple class name and its display name, separated by a
  * space.
  */
 final class KnownRedList {
-  /** More than these are no longer an exception, so the list itself is refused. */
+  /** The most entries; a longer list is rejected, as known failures have to stay exceptions. */
   static final int MOST = 3;
 
   private static final int FIELDS = 3;
@@ -28,7 +28,7 @@
 
   private KnownRedList() {}
 
-  /** Reads the file; a missing one is an empty list. */
+  /** Reads the file; a missing file is an empty list. */
   static KnownRedList read(Path file) {
     try {
       return Files.exists(file) ? parse(Files.readAllLines(file)) : new KnownRedList();
@@ -52,7 +52,7 @@
     }
     if (list.entries.size() > MOST) {
       throw new IllegalArgumentException(
-          list.entries.size() + " tests are listed as known to fail; at most " + MOST + " may be");
+          list.entries.size() + " tests are listed as known to fail; the maximum is " + MOST);
     }
     return list;
   }
@@ -60,11 +60,11 @@
   private void add(String line) {
     List<String> fields = List.of(line.split("\\|", -1)).stream().map(String::trim).toList();
     if (fields.size() != FIELDS || fields.contains("")) {
-      throw new IllegalArgumentException("not 'test | cause | issue': " + line);
+      throw new IllegalArgumentException("expected 'test | cause | issue', got: " + line);
     }
     Entry entry = new Entry(fields.get(0), fields.get(1), fields.get(2));
     if (entries.put(entry.test(), entry) != null) {
-      throw new IllegalArgumentException("listed twice: " + entry.test());
+      throw new IllegalArgumentException("test is listed twice: " + entry.test());
     }
   }
 
--- a/src/test/java/org/sandford/knownred/KnownRedTest.java
+++ b/src/test/java/org/sandford/knownred/KnownRedTest.java
@@ -19,11 +19,11 @@
 import org.junit.platform.testkit.engine.EngineTestKit;
 import org.junit.platform.testkit.engine.Events;
 
-/** Only tests that are listed may fail, and only as long as they do. */
+/** Checks that only listed tests may fail, and that a listed test that passes fails the build. */
 class KnownRedTest {
   @TempDir Path folder;
 
-  /** Run by the tests below alone. */
+  /** Has tests that pass or fail on purpose; only the tests below run it. */
   @ExtendWith(KnownRedExtension.class)
   static class Sample {
     @Test
@@ -38,7 +38,7 @@
 
     @TestFactory
     Stream<DynamicTest> plays() {
-      return Stream.of(dynamicTest("a play", () -> assertEquals(1, 2)));
+      return Stream.of(dynamicTest("a dynamic test", () -> assertEquals(1, 2)));
     }
   }
 
@@ -62,7 +62,8 @@
 
   @Test
   void listedTestsArePassedOver() throws IOException {
-    Events events = run("Sample fails() | a fault | issue 1", "Sample a play | a fault | issue 1");
+    Events events =
+        run("Sample fails() | a fault | issue 1", "Sample a dynamic test | a fault | issue 1");
     assertEquals(0, events.failed().count());
     assertEquals(2, events.aborted().count());
     assertEquals(1, events.succeeded().count());
@@ -81,7 +82,7 @@
         run(
             "Sample passes() | a fault | issue 1",
             "Sample fails() | a fault | issue 1",
-            "Sample a play | a fault | issue 1");
+            "Sample a dynamic test | a fault | issue 1");
     assertEquals(1, events.failed().count());
     assertEquals(2, events.aborted().count());
   }
