--- a/src/test/java/org/sandford/architecture/OperationsPageTest.java
+++ b/src/test/java/org/sandford/architecture/OperationsPageTest.java
@@ -24,7 +24,7 @@
   /** Stands for any value in a log line on the page. */
   private static final String ANY_VALUE = "…";
 
-  private static final Pattern QUOTED = Pattern.compile("`([^`]+)`");
+  private static final Pattern IN_BACKTICKS = Pattern.compile("`([^`]+)`");
   private static final Pattern LITERAL = Pattern.compile("\"((?:[^\"\\\\\\n]|\\\\.)*)\"");
   private static final Pattern JOINED_LITERALS = Pattern.compile("\"\\s*\\+\\s*\"");
 
@@ -46,32 +46,34 @@
 
   @Test
   void aLineIsFoundOnlyByAllItsFixedParts() {
-    List<String> written = List.of("the link to {} is up", "the link to {} is down");
-    assertTrue(isWritten("the link to … is up", written));
-    assertFalse(isWritten("the link to … is", written));
-    assertFalse(isWritten("link to … is up", written));
-    assertFalse(isWritten("the link to worker-0 is up", written));
+    List<String> sampleLiterals = List.of("the link to {} is up", "the link to {} is down");
+    assertTrue(matchesAnyLiteral("the link to … is up", sampleLiterals));
+    assertFalse(matchesAnyLiteral("the link to … is", sampleLiterals));
+    assertFalse(matchesAnyLiteral("link to … is up", sampleLiterals));
+    assertFalse(matchesAnyLiteral("the link to worker-0 is up", sampleLiterals));
   }
 
   @Test
-  void everyLogLineOfThePageIsWritten() throws IOException {
-    List<String> lines = quotedIn("| line |", 1);
+  void everyLogLineOfThePageIsInTheCode() throws IOException {
+    List<String> lines = textsInBackticks("| line |", 1);
     assertFalse(lines.isEmpty(), "the page has no table of log lines");
-    assertEquals(List.of(), lines.stream().filter(line -> !isWritten(line, literals)).toList());
+    assertEquals(
+        List.of(), lines.stream().filter(line -> !matchesAnyLiteral(line, literals)).toList());
   }
 
   @Test
-  void everyNewTextOfARenamedLineIsWritten() throws IOException {
-    List<String> lines = quotedIn("| old |", 2);
+  void everyNewTextOfARenamedLineIsInTheCode() throws IOException {
+    List<String> lines = textsInBackticks("| old |", 2);
     assertFalse(lines.isEmpty(), "the page has no table of renamed lines");
-    assertEquals(List.of(), lines.stream().filter(line -> !isWritten(line, literals)).toList());
+    assertEquals(
+        List.of(), lines.stream().filter(line -> !matchesAnyLiteral(line, literals)).toList());
   }
 
   @Test
-  void everyAuditEventOfThePageIsWritten() throws IOException {
-    List<String> events = quotedIn("| event |", 1);
+  void everyAuditEventOfThePageIsInTheCode() throws IOException {
+    List<String> events = textsInBackticks("| event |", 1);
     assertFalse(events.isEmpty(), "the page has no table of audit events");
-    assertEquals(List.of(), events.stream().filter(event -> !isAnEvent(event)).toList());
+    assertEquals(List.of(), events.stream().filter(event -> !beginsAnyLiteral(event)).toList());
   }
 
   /**
@@ -79,13 +81,13 @@
    *
    * @param column the number of the column, from 1
    */
-  private static List<String> quotedIn(String heading, int column) throws IOException {
+  private static List<String> textsInBackticks(String heading, int column) throws IOException {
     List<String> texts = new ArrayList<>();
     boolean inTable = false;
     for (String row : Files.readAllLines(PAGE)) {
       inTable = row.startsWith(heading) || (inTable && row.startsWith("|"));
       if (inTable) {
-        Matcher quoted = QUOTED.matcher(row.split("\\|", -1)[column]);
+        Matcher quoted = IN_BACKTICKS.matcher(row.split("\\|", -1)[column]);
         while (quoted.find()) {
           texts.add(quoted.group(1));
         }
@@ -98,14 +100,14 @@
    * Returns whether a literal has all fixed parts of the line, in order, and begins and ends as the
    * line does, unless the line begins or ends with a value.
    */
-  private static boolean isWritten(String line, List<String> literals) {
+  private static boolean matchesAnyLiteral(String line, List<String> literals) {
     String fixedParts =
         Stream.of(line.split(ANY_VALUE, -1)).map(Pattern::quote).collect(Collectors.joining(".*"));
-    Pattern written = Pattern.compile(fixedParts);
-    return literals.stream().anyMatch(literal -> written.matcher(literal).matches());
+    Pattern pattern = Pattern.compile(fixedParts);
+    return literals.stream().anyMatch(literal -> pattern.matcher(literal).matches());
   }
 
-  private static boolean isAnEvent(String event) {
+  private static boolean beginsAnyLiteral(String event) {
     return literals.stream()
         .anyMatch(literal -> literal.equals(event) || literal.startsWith(event + " "));
   }
--- a/src/test/java/org/sandford/architecture/PackageDependencyTest.java
+++ b/src/test/java/org/sandford/architecture/PackageDependencyTest.java
@@ -39,11 +39,11 @@
           List.of("audit", "runtime", "settings"),
           List.of("constants"));
 
-  private static JavaClasses production;
+  private static JavaClasses productionClasses;
 
   @BeforeAll
   static void importProductionClasses() {
-    production =
+    productionClasses =
         new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_JARS)
@@ -55,14 +55,14 @@
     Set<String> expected = new TreeSet<>();
     LAYERS.forEach(expected::addAll);
     Set<String> found = new TreeSet<>();
-    for (JavaClass type : production) {
+    for (JavaClass type : productionClasses) {
       found.add(type.getPackageName().substring(ROOT.length()).split("\\.", -1)[0]);
     }
     assertEquals(expected, found);
   }
 
   @Test
-  void packagesNeedOnlyLowerLayers() {
+  void packagesDependOnlyOnLowerLayers() {
     for (int layer = 0; layer < LAYERS.size(); layer++) {
       for (String name : LAYERS.get(layer)) {
         String[] forbidden = packagesNotBelow(layer, name);
@@ -73,7 +73,7 @@
               .should()
               .dependOnClassesThat()
               .resideInAnyPackage(forbidden)
-              .check(production);
+              .check(productionClasses);
         }
       }
     }
@@ -81,7 +81,7 @@
 
   @Test
   void packagesAreFreeOfCycles() {
-    slices().matching(ROOT + "(*)..").should().beFreeOfCycles().check(production);
+    slices().matching(ROOT + "(*)..").should().beFreeOfCycles().check(productionClasses);
   }
 
   private static String[] packagesNotBelow(int layer, String name) {
--- a/src/test/java/org/sandford/knownred/KnownRedExtension.java
+++ b/src/test/java/org/sandford/knownred/KnownRedExtension.java
@@ -19,7 +19,7 @@
   /** Configuration parameter with the path of another list, for the tests of this class. */
   static final String FILE_PARAMETER = "sandford.known-red";
 
-  private static final String FILE = "KNOWN-RED.txt";
+  private static final String DEFAULT_FILE = "KNOWN-RED.txt";
 
   @Override
   public void interceptTestMethod(
@@ -39,19 +39,19 @@
 
   private static void intercept(Invocation<Void> invocation, ExtensionContext context)
       throws Throwable {
-    String file = context.getConfigurationParameter(FILE_PARAMETER).orElse(FILE);
+    String file = context.getConfigurationParameter(FILE_PARAMETER).orElse(DEFAULT_FILE);
     String test = testClass(context).getSimpleName() + " " + context.getDisplayName();
-    Optional<KnownRedList.Entry> listed = KnownRedList.read(Path.of(file)).find(test);
-    if (listed.isEmpty()) {
+    Optional<KnownRedList.Entry> entry = KnownRedList.read(Path.of(file)).find(test);
+    if (entry.isEmpty()) {
       invocation.proceed();
       return;
     }
     if (passes(invocation)) {
       throw new AssertionFailedError(test + " passes and must be removed from " + file);
     }
-    String known = "KNOWN RED: " + test + " | " + listed.get().cause();
-    System.out.println(known + " | " + listed.get().issue());
-    throw new TestAbortedException(known);
+    String message = "KNOWN RED: " + test + " | " + entry.get().cause();
+    System.out.println(message + " | " + entry.get().issue());
+    throw new TestAbortedException(message);
   }
 
   /** Returns the class of a test; a dynamic test has none itself, but its factory has. */
--- a/src/test/java/org/sandford/knownred/KnownRedList.java
+++ b/src/test/java/org/sandford/knownred/KnownRedList.java
@@ -17,9 +17,9 @@
  */
 final class KnownRedList {
   /** The most entries; a longer list is rejected, as known failures have to stay exceptions. */
-  static final int MOST = 3;
+  static final int MAX_ENTRIES = 3;
 
-  private static final int FIELDS = 3;
+  private static final int FIELDS_PER_LINE = 3;
 
   /** One listed test. */
   record Entry(String test, String cause, String issue) {}
@@ -41,7 +41,7 @@
    * Reads the lines of a list.
    *
    * @throws IllegalArgumentException when a line lacks a field, a test is listed twice, or more
-   *     than {@link #MOST} are listed
+   *     than {@link #MAX_ENTRIES} are listed
    */
   static KnownRedList parse(List<String> lines) {
     KnownRedList list = new KnownRedList();
@@ -50,16 +50,18 @@
         list.add(line);
       }
     }
-    if (list.entries.size() > MOST) {
+    if (list.entries.size() > MAX_ENTRIES) {
       throw new IllegalArgumentException(
-          list.entries.size() + " tests are listed as known to fail; the maximum is " + MOST);
+          list.entries.size()
+              + " tests are listed as known to fail; the maximum is "
+              + MAX_ENTRIES);
     }
     return list;
   }
 
   private void add(String line) {
     List<String> fields = List.of(line.split("\\|", -1)).stream().map(String::trim).toList();
-    if (fields.size() != FIELDS || fields.contains("")) {
+    if (fields.size() != FIELDS_PER_LINE || fields.contains("")) {
       throw new IllegalArgumentException("expected 'test | cause | issue', got: " + line);
     }
     Entry entry = new Entry(fields.get(0), fields.get(1), fields.get(2));
--- a/src/test/java/org/sandford/knownred/KnownRedTest.java
+++ b/src/test/java/org/sandford/knownred/KnownRedTest.java
@@ -21,7 +21,7 @@
 
 /** Checks that only listed tests may fail, and that a listed test that passes fails the build. */
 class KnownRedTest {
-  @TempDir Path folder;
+  @TempDir Path tempDir;
 
   /** Has tests that pass or fail on purpose; only the tests below run it. */
   @ExtendWith(KnownRedExtension.class)
@@ -37,13 +37,13 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> plays() {
+    Stream<DynamicTest> dynamicTests() {
       return Stream.of(dynamicTest("a dynamic test", () -> assertEquals(1, 2)));
     }
   }
 
   private Events run(String... lines) throws IOException {
-    Path file = folder.resolve("list.txt");
+    Path file = tempDir.resolve("list.txt");
     Files.write(file, List.of(lines));
     return EngineTestKit.engine("junit-jupiter")
         .selectors(selectClass(Sample.class))
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void listedTestsArePassedOver() throws IOException {
+  void listedTestsMayFail() throws IOException {
     Events events =
         run("Sample fails() | a fault | issue 1", "Sample a dynamic test | a fault | issue 1");
     assertEquals(0, events.failed().count());
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void threeAtMostWithTestCauseAndIssue() {
+  void aListHasAtMostThreeEntriesWithTestCauseAndIssue() {
     String line = " | a fault | issue 1";
     assertThrows(
         IllegalArgumentException.class,
