--- a/src/test/java/org/sandford/knownred/KnownRedList.java
+++ b/src/test/java/org/sandford/knownred/KnownRedList.java
@@ -53,8 +53,9 @@
     if (list.entries.size() > MAX_ENTRIES) {
       throw new IllegalArgumentException(
           list.entries.size()
-              + " tests are listed as known to fail; the maximum is "
-              + MAX_ENTRIES);
+              + " tests are listed as known to fail; at most "
+              + MAX_ENTRIES
+              + " are allowed");
     }
     return list;
   }
