--- a/src/test/java/org/sandford/architecture/PackageDependencyTest.java
+++ b/src/test/java/org/sandford/architecture/PackageDependencyTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holds the layer order of the packages: a package needs only packages of lower layers, and
- * packages of one layer do not need each other.
+ * Checks the layers of the packages: a package depends only on packages of lower layers, and
+ * packages of one layer do not depend on each other.
  *
- * <p>The rules read class files, in which the compiler has replaced constants by their values, so
- * an import that is used for nothing but a constant is not seen.
+ * <p>The rules read class files, in which the compiler has replaced constants by their values, so a
+ * dependency on nothing but a constant is not detected.
  */
 class PackageDependencyTest {
   private static final String ROOT = "org.sandford.";
 
-  /** From the top to the bottom. Sub-packages belong to the layer of their parent. */
+  /** The layers from top to bottom. Sub-packages belong to the layer of their parent. */
   private static final List<List<String>> LAYERS =
       List.of(
           List.of("cli"),
@@ -39,11 +39,11 @@
           List.of("audit", "runtime", "settings"),
           List.of("constants"));
 
-  private static JavaClasses production;
+  private static JavaClasses productionClasses;
 
   @BeforeAll
   static void importProductionClasses() {
-    production =
+    productionClasses =
         new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_JARS)
@@ -55,14 +55,14 @@
     Set<String> expected = new TreeSet<>();
     LAYERS.forEach(expected::addAll);
     Set<String> found = new TreeSet<>();
-    for (JavaClass type : production) {
+    for (JavaClass type : productionClasses) {
       found.add(type.getPackageName().substring(ROOT.length()).split("\\.", -1)[0]);
     }
     assertEquals(expected, found);
   }
 
   @Test
-  void packagesNeedOnlyLowerLayers() {
+  void packagesDependOnlyOnLowerLayers() {
     for (int layer = 0; layer < LAYERS.size(); layer++) {
       for (String name : LAYERS.get(layer)) {
         String[] forbidden = packagesNotBelow(layer, name);
@@ -73,7 +73,7 @@
               .should()
               .dependOnClassesThat()
               .resideInAnyPackage(forbidden)
-              .check(production);
+              .check(productionClasses);
         }
       }
     }
@@ -81,7 +81,7 @@
 
   @Test
   void packagesAreFreeOfCycles() {
-    slices().matching(ROOT + "(*)..").should().beFreeOfCycles().check(production);
+    slices().matching(ROOT + "(*)..").should().beFreeOfCycles().check(productionClasses);
   }
 
   private static String[] packagesNotBelow(int layer, String name) {
