--- a/src/main/java/org/sandford/job/AssignedMachines.java
+++ b/src/main/java/org/sandford/job/AssignedMachines.java
@@ -14,7 +14,7 @@
   private final UntrackedTasks untrackedTasks;
   private final PlacementLedger ledger;
 
-  /** The map as of the last call of {@link #applyMap}. */
+  /** The map as of the last call of {@link #applyAssignments}. */
   private Map<String, MachineAssignment> appliedMap = Map.of();
 
   AssignedMachines(
@@ -29,7 +29,7 @@
   }
 
   /** Applies the changes of the map since the last call. */
-  void applyMap() {
+  void applyAssignments() {
     Map<String, MachineAssignment> current = cluster.machines().of();
     if (current == appliedMap) {
       return;
--- a/src/main/java/org/sandford/job/CancelledJobs.java
+++ b/src/main/java/org/sandford/job/CancelledJobs.java
@@ -69,7 +69,7 @@
   }
 
   /** Returns the most that tasks of the team's cancelled jobs may use on unreported machines. */
-  Resources maxHeldBy(String team) {
+  Resources maxUseOfTeam(String team) {
     long now = loop.nanos();
     if (!terminalStatesCompleteSince.get().isOlderThan(retentionNanos, now)) {
       return Resources.UNBOUNDED;
@@ -77,13 +77,13 @@
     Resources bound = Resources.ZERO;
     for (Map.Entry<String, CancelledJob> job : jobs.entrySet()) {
       if (now - job.getValue().learnedAtNanos <= retentionNanos) {
-        bound = bound.plus(maxHeldBy(team, job.getKey(), job.getValue()));
+        bound = bound.plus(maxUseOfJob(team, job.getKey(), job.getValue()));
       }
     }
     return bound;
   }
 
-  private Resources maxHeldBy(String team, String job, CancelledJob cancelled) {
+  private Resources maxUseOfJob(String team, String job, CancelledJob cancelled) {
     if (!cancelled.mayBelongTo(team)) {
       return Resources.ZERO;
     }
--- a/src/main/java/org/sandford/job/CandidateMachines.java
+++ b/src/main/java/org/sandford/job/CandidateMachines.java
@@ -198,18 +198,18 @@
   /** Deducts the use of reported tasks and of placements that the owner does not report yet. */
   private void deductUsed(CandidateMachine candidate, MachineSnapshot snapshot) {
     Set<TaskPlacement> placements = placementsByMachine.getOrDefault(snapshot.machine, Set.of());
-    Set<Attempt> reported = placements.isEmpty() ? Set.of() : new HashSet<>();
+    Set<AttemptId> reported = placements.isEmpty() ? Set.of() : new HashSet<>();
     for (TaskSnapshot task : snapshot.tasks) {
       if (task.state == TaskState.EXITED) {
         continue;
       }
       candidate.take(task.cpus, task.gpus, task.ram);
       if (!placements.isEmpty()) {
-        reported.add(Attempt.of(task));
+        reported.add(AttemptId.of(task));
       }
     }
     for (TaskPlacement placement : placements) {
-      if (!reported.contains(Attempt.of(placement))) {
+      if (!reported.contains(AttemptId.of(placement))) {
         JobSpec spec = placement.job.spec;
         candidate.take(spec.cpus(), spec.gpus(), spec.ram());
       }
--- a/src/main/java/org/sandford/job/Gangs.java
+++ b/src/main/java/org/sandford/job/Gangs.java
@@ -114,7 +114,7 @@
       endAttempt(job, "task lost");
       return;
     }
-    if (job.running() == job.spec.tasks()) {
+    if (job.runningCount() == job.spec.tasks()) {
       transitionTo(job, Phase.RUNNING, "all tasks run");
       return;
     }
--- a/src/main/java/org/sandford/job/Job.java
+++ b/src/main/java/org/sandford/job/Job.java
@@ -30,12 +30,12 @@
     /** The job is accepted; its tasks wait or run. */
     OPEN,
     /** A user requested its cancellation; the terminal state is being written. */
-    ABORTING,
+    CANCELLING,
     DONE,
-    ABORTED;
+    CANCELLED;
 
-    boolean over() {
-      return this == DONE || this == ABORTED;
+    boolean isTerminal() {
+      return this == DONE || this == CANCELLED;
     }
 
     /**
@@ -46,14 +46,14 @@
       return switch (next) {
         case STORING -> false;
         case OPEN -> this == STORING;
-        case ABORTING -> this == OPEN;
-        case DONE, ABORTED -> !over();
+        case CANCELLING -> this == OPEN;
+        case DONE, CANCELLED -> !isTerminal();
       };
     }
   }
 
   /** A finished attempt; its exit is acknowledged once the record lists the task as done. */
-  record Clear(int task, long attempt, String machine) {}
+  record UnacknowledgedExit(int task, long attempt, String machine) {}
 
   /** What this controller knows about the write of the job's terminal record. */
   private enum TerminalWrite {
@@ -103,7 +103,7 @@
   RecordWriter.Write progressWrite;
 
   /** Whether a write of its record is queued or in flight, or its outcome is being read back. */
-  boolean writing;
+  boolean recordWritePending;
 
   private TerminalWrite terminalWrite = TerminalWrite.NONE;
 
@@ -111,7 +111,7 @@
    * Exits to acknowledge once the record lists their tasks as done. A hash set, because a large
    * array has thousands and every snapshot repeats them: finding one must not take a scan.
    */
-  final Set<Clear> exitsToAcknowledge = new LinkedHashSet<>();
+  final Set<UnacknowledgedExit> exitsToAcknowledge = new LinkedHashSet<>();
 
   /** Callbacks for the answer to its submission. */
   final List<Consumer<ApiResponse>> submissionCallbacks = new ArrayList<>();
@@ -172,7 +172,7 @@
 
   /** Schedules the exit's acknowledgement for when the record lists its task as done. */
   void acknowledgeOnceStored(int task, long attempt, String machine) {
-    if (exitsToAcknowledge.add(new Clear(task, attempt, machine))) {
+    if (exitsToAcknowledge.add(new UnacknowledgedExit(task, attempt, machine))) {
       dirty = true;
     }
   }
@@ -188,7 +188,7 @@
   }
 
   /** Returns whether the job has waiting tasks that may be planned. */
-  boolean runnable() {
+  boolean hasSchedulableTasks() {
     if (spec.gang()) {
       // The next attempt begins only after all tasks of the previous one are off their machines.
       return phase == Phase.OPEN
@@ -206,7 +206,7 @@
   /** Returns whether all unfinished tasks run; true the first time only. */
   boolean becameFullyRunning() {
     boolean fullyRunning =
-        tasks.waitingCount() == 0 && placements.running() == tasks.unfinishedCount();
+        tasks.waitingCount() == 0 && placements.runningCount() == tasks.unfinishedCount();
     if (wasFullyRunning || !fullyRunning) {
       return false;
     }
@@ -229,7 +229,7 @@
   }
 
   /** Records a preemption request for the job and delays the next one. */
-  void preemptionRequested(long nowMs) {
+  void recordPreemptionRequest(long nowMs) {
     nextPreemptionAtMs = nowMs + JobConstants.PREEMPTION_INTERVAL_MS;
   }
 
@@ -251,7 +251,7 @@
 
   /** Returns the task's placement, or null if it has none. */
   TaskPlacement placementOf(int task) {
-    return placements.of(task);
+    return placements.placementOf(task);
   }
 
   /** Returns a copy, since callers change the placements as they go through them. */
@@ -280,7 +280,7 @@
   }
 
   /** Marks the task as done; for a gang all tasks, since they complete together. */
-  void complete(int task) {
+  void completeTask(int task) {
     if (!spec.gang()) {
       markDone(task);
       return;
@@ -298,23 +298,23 @@
 
   /** Returns the number of tasks that are, or may be, on a machine. */
   int placementCount() {
-    return placements.count();
+    return placements.placementCount();
   }
 
-  int running() {
-    return placements.running();
+  int runningCount() {
+    return placements.runningCount();
   }
 
   /** Returns what its tasks require of machines, given their placements. */
   ResourceRequest resourceRequest() {
-    return resourceRequest(placements.zones(), placements.machines());
+    return resourceRequest(placements.countByZone(), placements.machines());
   }
 
   /** Returns what its tasks would require of machines without this placement. */
   ResourceRequest resourceRequestWithout(TaskPlacement excluded) {
-    Map<String, Integer> zones = placements.zones();
+    Map<String, Integer> zones = placements.countByZone();
     Set<String> machines = placements.machines();
-    if (placements.of(excluded.task) == excluded) {
+    if (placements.placementOf(excluded.task) == excluded) {
       zones.computeIfPresent(excluded.zone, (zone, count) -> count == 1 ? null : count - 1);
       if (placements.isAloneOnMachine(excluded)) {
         machines.remove(excluded.machine);
@@ -350,15 +350,15 @@
     String state =
         switch (phase) {
           case DONE -> "done";
-          case ABORTED -> "aborted";
-          default -> running() > 0 ? "running" : "queued";
+          case CANCELLED -> "aborted";
+          default -> runningCount() > 0 ? "running" : "queued";
         };
     ObjectNode node =
         Json.object()
             .put("name_id", spec.id())
             .put("status", state)
             .put("done", tasks.doneCount())
-            .put("running", running());
+            .put("running", runningCount());
     WaitReason reason = statusReason();
     if (reason != WaitReason.NONE) {
       node.put("reason", reason.text());
@@ -367,11 +367,11 @@
   }
 
   private WaitReason statusReason() {
-    if (phase.over()) {
+    if (phase.isTerminal()) {
       return WaitReason.NONE;
     }
     if (gang.isStarting()) {
-      return new WaitReason.GangStarting(spec.tasks() - running(), spec.tasks());
+      return new WaitReason.GangStarting(spec.tasks() - runningCount(), spec.tasks());
     }
     boolean waits = tasks.waitingCount() > 0 && waitReason != WaitReason.NONE;
     return waits ? waitReason : retry.lastFailure();
--- a/src/main/java/org/sandford/job/JobAcceptance.java
+++ b/src/main/java/org/sandford/job/JobAcceptance.java
@@ -42,7 +42,7 @@
   private final JobAnswers answers;
   private final JobRecordStore recordStore;
   private final JobAdoption adoption;
-  private final Submissions.Changes listener;
+  private final Submissions.Listener listener;
 
   JobAcceptance(
       EventLoop loop,
@@ -51,7 +51,7 @@
       JobAnswers answers,
       JobRecordStore recordStore,
       JobAdoption adoption,
-      Submissions.Changes listener) {
+      Submissions.Listener listener) {
     this.loop = loop;
     this.owned = owned;
     this.jobReader = jobReader;
@@ -139,7 +139,7 @@
     job.transitionTo(Job.Phase.OPEN);
     log.debug("job accepted job={}", job.spec.id());
     answerSubmissions(job, acceptedResponse(job.spec.id(), status, revision));
-    listener.jobsChanged();
+    listener.jobsWaiting();
   }
 
   private static ApiResponse acceptedResponse(String id, int status, long revision) {
--- a/src/main/java/org/sandford/job/JobAdoption.java
+++ b/src/main/java/org/sandford/job/JobAdoption.java
@@ -22,7 +22,7 @@
   private final TerminalStates terminalStates;
   private final JobReader jobReader;
   private final JobRecordStore recordStore;
-  private final Submissions.Changes listener;
+  private final Submissions.Listener listener;
 
   JobAdoption(
       EventLoop loop,
@@ -31,7 +31,7 @@
       TerminalStates terminalStates,
       JobReader jobReader,
       JobRecordStore recordStore,
-      Submissions.Changes listener) {
+      Submissions.Listener listener) {
     this.loop = loop;
     this.cluster = cluster;
     this.owned = owned;
@@ -88,12 +88,12 @@
     Team team = owned.team(spec.team());
     // The read may be older than a terminal state that became known meanwhile.
     boolean ended = terminalStates.contains(spec.id());
-    if (team == null || !team.isServed() || owned.knows(spec.id()) || ended) {
+    if (team == null || !team.isServed() || owned.contains(spec.id()) || ended) {
       return;
     }
     Job job = Job.inherited(stored, loop.nanos());
     owned.add(team, job);
-    listener.jobFound(job);
+    listener.jobAdopted(job);
   }
 
   private void removeNewJobKey(String id) {
--- a/src/main/java/org/sandford/job/JobAnswers.java
+++ b/src/main/java/org/sandford/job/JobAnswers.java
@@ -43,7 +43,7 @@
               HttpStatus.OK, JobStatus.terminal(id, state.get()), REMEMBERED_TERMINAL_STATE));
     }
     Job job = owned.job(id);
-    return job == null || !job.phase().over()
+    return job == null || !job.phase().isTerminal()
         ? Optional.empty()
         : Optional.of(ApiResponse.of(HttpStatus.OK, job.status(), REMEMBERED_TERMINAL_STATE));
   }
--- a/src/main/java/org/sandford/job/JobCancellation.java
+++ b/src/main/java/org/sandford/job/JobCancellation.java
@@ -49,7 +49,7 @@
   private void cancelOwned(Job job, Consumer<ApiResponse> answer) {
     job.cancellationCallbacks.add(answer);
     if (job.phase() == Job.Phase.OPEN && !job.allDone()) {
-      job.transitionTo(Job.Phase.ABORTING);
+      job.transitionTo(Job.Phase.CANCELLING);
       job.placements().forEach(placement -> commands.stop(placement, 0));
     }
     records.flush(job);
--- a/src/main/java/org/sandford/job/JobRecords.java
+++ b/src/main/java/org/sandford/job/JobRecords.java
@@ -31,12 +31,12 @@
   private static final Logger log = LoggerFactory.getLogger(JobRecords.class);
 
   /** Listener for job records that were stored. */
-  interface Stored {
+  interface Listener {
     /** Handles a stored terminal state, which users may now be told. */
-    void ended(Job job, TerminalState state);
+    void terminalStateStored(Job job, TerminalState state);
 
-    /** Handles a stored finished task, whose result may now be cleared from its worker. */
-    void stored(Job job, Job.Clear exit);
+    /** Handles a stored finished task, whose exit may now be acknowledged to its worker. */
+    void finishedTaskStored(Job job, Job.UnacknowledgedExit exit);
   }
 
   private final EventLoop loop;
@@ -44,7 +44,7 @@
   private final JobReader jobReader;
   private final AuditLog audit;
   private final JobRecordStore recordStore;
-  private final Stored listener;
+  private final Listener listener;
 
   JobRecords(
       EventLoop loop,
@@ -54,7 +54,7 @@
       RecordWriter writer,
       JobReader jobReader,
       AuditLog audit,
-      Stored listener) {
+      Listener listener) {
     this.loop = loop;
     this.owned = owned;
     this.jobReader = jobReader;
@@ -71,7 +71,7 @@
     if (!mayWrite(job)) {
       return;
     }
-    if (job.phase() == Job.Phase.ABORTING) {
+    if (job.phase() == Job.Phase.CANCELLING) {
       writeTerminalRecord(job, TerminalState.CANCELLED);
     } else if (job.allDone()) {
       writeTerminalRecord(job, TerminalState.DONE);
@@ -81,20 +81,20 @@
   }
 
   private static boolean isEnding(Job job) {
-    return job.phase() == Job.Phase.ABORTING || job.allDone();
+    return job.phase() == Job.Phase.CANCELLING || job.allDone();
   }
 
   /** Withdraws a progress write that the terminal record replaces and must not wait for. */
   private void withdrawProgressWrite(Job job) {
     if (job.progressWrite != null && recordStore.withdraw(job.progressWrite)) {
       job.progressWrite = null;
-      job.writing = false;
+      job.recordWritePending = false;
     }
   }
 
   private boolean mayWrite(Job job) {
-    return !job.writing
-        && !job.phase().over()
+    return !job.recordWritePending
+        && !job.phase().isTerminal()
         && job.phase() != Job.Phase.STORING
         && owned.isCurrent(job);
   }
@@ -106,7 +106,10 @@
         () -> {
           job.progressWriteScheduled = false;
           boolean stillNeeded =
-              job.dirty && !job.writing && job.phase() == Job.Phase.OPEN && !job.allDone();
+              job.dirty
+                  && !job.recordWritePending
+                  && job.phase() == Job.Phase.OPEN
+                  && !job.allDone();
           if (stillNeeded && owned.isCurrent(job)) {
             writeProgress(job);
           }
@@ -114,7 +117,7 @@
   }
 
   private void writeTerminalRecord(Job job, TerminalState state) {
-    job.writing = true;
+    job.recordWritePending = true;
     recordStore.replaceWithTerminalRecord(
         job,
         state,
@@ -128,12 +131,12 @@
   }
 
   private void terminalRecordWritten(Job job, TerminalState state, TransactionResult result) {
-    job.writing = false;
+    job.recordWritePending = false;
     if (!owned.isCurrent(job)) {
       return;
     }
     switch (result.outcome()) {
-      case APPLIED -> listener.ended(job, state);
+      case APPLIED -> listener.terminalStateStored(job, state);
       case UNKNOWN -> {
         job.terminalWriteUnconfirmed();
         answerCancellations(job, unavailable("it is not known whether the change was stored"));
@@ -147,9 +150,9 @@
   }
 
   private void writeProgress(Job job) {
-    job.writing = true;
+    job.recordWritePending = true;
     job.dirty = false;
-    List<Job.Clear> exits = new ArrayList<>(job.exitsToAcknowledge);
+    List<Job.UnacknowledgedExit> exits = new ArrayList<>(job.exitsToAcknowledge);
     ObjectNode record = recordStore.openRecord(job);
     job.progressWrite =
         recordStore.progressWrite(
@@ -158,8 +161,8 @@
   }
 
   private void progressWritten(
-      Job job, ObjectNode record, List<Job.Clear> exits, TransactionResult result) {
-    job.writing = false;
+      Job job, ObjectNode record, List<Job.UnacknowledgedExit> exits, TransactionResult result) {
+    job.recordWritePending = false;
     job.progressWrite = null;
     if (!owned.isCurrent(job)) {
       return;
@@ -171,10 +174,10 @@
     }
     job.revision = result.revision();
     RangeSet<Integer> stored = JobRecordCodec.finishedTasks(record);
-    for (Job.Clear exit : exits) {
+    for (Job.UnacknowledgedExit exit : exits) {
       if (stored.contains(exit.task())) {
         job.exitsToAcknowledge.remove(exit);
-        listener.stored(job, exit);
+        listener.finishedTaskStored(job, exit);
       }
     }
     flush(job);
@@ -192,7 +195,7 @@
         && result.failed().contains(Cluster.TEAMS_KEY)) {
       loop.after(StoreConstants.STORE_RETRY_MS, () -> flush(job));
     } else {
-      job.writing = true;
+      job.recordWritePending = true;
       loop.after(StoreConstants.STORE_RETRY_MS, () -> readBack(job, result));
     }
   }
@@ -203,12 +206,12 @@
 
   /** Applies the stored state of the job, which overrides the state in memory. */
   private void applyStoredState(Job job, JobReadResult result, TransactionResult failedWrite) {
-    job.writing = false;
+    job.recordWritePending = false;
     if (!owned.isCurrent(job)) {
       return;
     }
     if (result instanceof JobReadResult.Terminal terminal) {
-      listener.ended(job, terminal.state());
+      listener.terminalStateStored(job, terminal.state());
     } else if (result instanceof JobReadResult.Open open) {
       job.revision = open.revision();
       TaskRanges.first(open.finishedTasks(), Integer.MAX_VALUE).forEach(job::markDone);
--- a/src/main/java/org/sandford/job/JobScheduler.java
+++ b/src/main/java/org/sandford/job/JobScheduler.java
@@ -132,28 +132,28 @@
   }
 
   /** Plans after changes of the open jobs, and adopts the running tasks of a job that was found. */
-  private final class JobChangeHandler implements Submissions.Changes {
+  private final class JobChangeHandler implements Submissions.Listener {
     @Override
-    public void jobsChanged() {
+    public void jobsWaiting() {
       timer.requestRound();
     }
 
     @Override
-    public void jobFound(Job job) {
+    public void jobAdopted(Job job) {
       adoptTasks(Set.of(job.spec.id()));
       timer.requestRound();
     }
   }
 
   /** Handles writes of job records that are confirmed by the store. */
-  private final class RecordWriteHandler implements JobRecords.Stored {
+  private final class RecordWriteHandler implements JobRecords.Listener {
     @Override
-    public void ended(Job job, TerminalState state) {
-      termination.ended(job, state);
+    public void terminalStateStored(Job job, TerminalState state) {
+      termination.complete(job, state);
     }
 
     @Override
-    public void stored(Job job, Job.Clear exit) {
+    public void finishedTaskStored(Job job, Job.UnacknowledgedExit exit) {
       commands.acknowledgeExit(job, exit.machine(), exit.task(), exit.attempt());
     }
   }
@@ -183,14 +183,14 @@
 
   /** Handles a change of the assignment map of teams or machines. */
   public void mapChanged() {
-    List<Team> acquired = ownership.applyMap();
+    List<Team> acquired = ownership.applyAssignments();
     if (!acquired.isEmpty()) {
       // Tasks of these teams were ignored in earlier snapshots.
       machineSnapshots.all().forEach(received -> untrackedTasks.update(received.snapshot()));
       openJobLoader.load(acquired, this::openJobsLoaded);
     }
-    assignedMachines.applyMap();
-    recovery.checkAll();
+    assignedMachines.applyAssignments();
+    recovery.checkAllMachines();
     timer.requestRound();
   }
 
@@ -200,7 +200,7 @@
       team.jobs.values().forEach(records::flush);
     }
     submissions.adoptNewJobs();
-    recovery.checkAll();
+    recovery.checkAllMachines();
     timer.requestRound();
   }
 
@@ -225,7 +225,7 @@
   /** Handles another controller's reply to the claim of a team. */
   public void claimReplied(String peer, ClaimReply reply) {
     if (ownership.claimReplied(peer, reply)) {
-      recovery.checkAll();
+      recovery.checkAllMachines();
     }
   }
 
@@ -243,7 +243,7 @@
       candidates.invalidateAll();
       pendingStarts.releaseUnanswered(publisher, update);
     }
-    recovery.check(update.machines);
+    recovery.checkReporting(update.machines);
     if (!update.machines.isEmpty()) {
       timer.requestRound();
     }
@@ -297,8 +297,8 @@
     }
     Job job = owned.job(id);
     // A cancelled job stays known until its tasks are gone, so its end may be reported repeatedly.
-    if (job != null && !job.writing && !job.phase().over()) {
-      termination.ended(job, state);
+    if (job != null && !job.recordWritePending && !job.phase().isTerminal()) {
+      termination.complete(job, state);
     }
   }
 
--- a/src/main/java/org/sandford/job/JobTermination.java
+++ b/src/main/java/org/sandford/job/JobTermination.java
@@ -39,13 +39,13 @@
   }
 
   /**
-   * Ends a job whose terminal state is stored: answers its cancellations, and stops tasks that are
-   * left on machines.
+   * Completes a job whose terminal state is stored: answers its cancellations, and stops tasks that
+   * are left on machines.
    */
-  void ended(Job job, TerminalState state) {
-    job.transitionTo(state == TerminalState.DONE ? Job.Phase.DONE : Job.Phase.ABORTED);
+  void complete(Job job, TerminalState state) {
+    job.transitionTo(state == TerminalState.DONE ? Job.Phase.DONE : Job.Phase.CANCELLED);
     log.debug("job ended job={} state={}", job.spec.id(), state.wireName());
-    if (job.phase() == Job.Phase.ABORTED) {
+    if (job.phase() == Job.Phase.CANCELLED) {
       cancelled.add(job.spec.id(), job.spec.team(), job.spec.tasks());
     }
     terminalStates.put(job.spec.id(), state);
--- a/src/main/java/org/sandford/job/OpenJobAudit.java
+++ b/src/main/java/org/sandford/job/OpenJobAudit.java
@@ -50,7 +50,7 @@
     JobSpec spec = OpenJobReader.spec(id, record);
     jobReader.remember(spec);
     String team = spec.team();
-    if (owned.owns(team) && !owned.knows(id) && !terminalStates.contains(id)) {
+    if (owned.owns(team) && !owned.contains(id) && !terminalStates.contains(id)) {
       log.info("open job unknown to its owner job={} team={}", id, team);
       // The listing may be older than the job's end, so the job is read again.
       adoption.adoptNewJob(id, team);
--- a/src/main/java/org/sandford/job/OpenJobLoader.java
+++ b/src/main/java/org/sandford/job/OpenJobLoader.java
@@ -56,7 +56,9 @@
         (id, entry) -> {
           JobSpec spec = OpenJobReader.spec(id, entry.value());
           // The listing may be older than a terminal state that became known meanwhile.
-          if (spec.team().equals(team.name) && !owned.knows(id) && !terminalStates.contains(id)) {
+          if (spec.team().equals(team.name)
+              && !owned.contains(id)
+              && !terminalStates.contains(id)) {
             owned.add(team, inheritedJob(spec, entry));
             adoptedIds.add(id);
           }
--- a/src/main/java/org/sandford/job/OwnedJobs.java
+++ b/src/main/java/org/sandford/job/OwnedJobs.java
@@ -51,7 +51,7 @@
     return jobs.get(id);
   }
 
-  boolean knows(String id) {
+  boolean contains(String id) {
     return jobs.containsKey(id);
   }
 
--- a/src/main/java/org/sandford/job/PendingStarts.java
+++ b/src/main/java/org/sandford/job/PendingStarts.java
@@ -61,15 +61,15 @@
    * requested over an earlier link and is not in the snapshots was never accepted.
    */
   void releaseUnanswered(String owner, SnapshotUpdate update) {
-    Set<Attempt> reported = new HashSet<>();
+    Set<AttemptId> reported = new HashSet<>();
     update.machines.forEach(
-        machine -> machine.tasks.forEach(task -> reported.add(Attempt.of(task))));
+        machine -> machine.tasks.forEach(task -> reported.add(AttemptId.of(task))));
     for (Job job : owned.jobs().values()) {
       for (TaskPlacement placement : job.placements()) {
         if (placement.phase() == TaskPhase.REQUESTED
             && placement.owner.equals(owner)
             && commands.startIsObsolete(placement, owner)
-            && !reported.contains(Attempt.of(placement))) {
+            && !reported.contains(AttemptId.of(placement))) {
           ledger.release(placement);
         }
       }
--- a/src/main/java/org/sandford/job/PreemptibleTasks.java
+++ b/src/main/java/org/sandford/job/PreemptibleTasks.java
@@ -119,10 +119,10 @@
   }
 
   /** Returns the tasks that may be preempted for the job and for which no preemption is pending. */
-  List<Victim> victimsFor(Team team, Job job, Predicate<Attempt> preemptionRequested) {
+  List<Victim> victimsFor(Team team, Job job, Predicate<AttemptId> preemptionRequested) {
     PreemptingJob preemptingJob = new PreemptingJob(team, job);
     return activeTasks.stream()
-        .filter(victim -> !preemptionRequested.test(attemptOf(victim)))
+        .filter(victim -> !preemptionRequested.test(attemptIdOf(victim)))
         .filter(preemptingJob::mayPreempt)
         .toList();
   }
@@ -191,8 +191,8 @@
     return byMachine;
   }
 
-  static Attempt attemptOf(Victim victim) {
-    return new Attempt(victim.job(), victim.task(), victim.attempt());
+  static AttemptId attemptIdOf(Victim victim) {
+    return new AttemptId(victim.job(), victim.task(), victim.attempt());
   }
 
   /** Returns whether the team's guarantee covers the job and the team's earlier unfinished jobs. */
@@ -201,7 +201,7 @@
     double gpus = 0;
     for (Job other : team.jobs.values()) {
       boolean earlier = other == job || other.acceptedAt < job.acceptedAt;
-      if (earlier && !other.phase().over()) {
+      if (earlier && !other.phase().isTerminal()) {
         int unfinished = other.tasks.unfinishedCount();
         cpus += unfinished * other.spec.cpus();
         gpus += unfinished * other.spec.gpus();
--- a/src/main/java/org/sandford/job/Preemptor.java
+++ b/src/main/java/org/sandford/job/Preemptor.java
@@ -29,7 +29,7 @@
   private final Planner planner;
 
   /** The time of each recently requested preemption by attempt, in milliseconds. */
-  private final Map<Attempt, Long> preemptionRequestedAtMs = new HashMap<>();
+  private final Map<AttemptId, Long> preemptionRequestedAtMs = new HashMap<>();
 
   /** The tasks on all machines; null until a job of the round needs them. */
   private PreemptibleTasks preemptibleTasks;
@@ -81,7 +81,7 @@
       return;
     }
     searchCount++;
-    job.preemptionRequested(loop.millis());
+    job.recordPreemptionRequest(loop.millis());
     List<Preemption.Eviction> evictions =
         Preemption.choose(job.resourceRequest(), taskCount, usableMachines, victims, allOrNone);
     if (evictions != null) {
@@ -198,7 +198,7 @@
       List<Preemption.Victim> victims) {
     JobSpec spec = job.spec;
     victims.forEach(
-        victim -> preemptionRequestedAtMs.put(PreemptibleTasks.attemptOf(victim), loop.millis()));
+        victim -> preemptionRequestedAtMs.put(PreemptibleTasks.attemptIdOf(victim), loop.millis()));
     links.request(
         owner,
         new Preempt(
--- a/src/main/java/org/sandford/job/QuotaUse.java
+++ b/src/main/java/org/sandford/job/QuotaUse.java
@@ -22,7 +22,7 @@
     untrackedTasks.addUseTo(owned.teams());
     for (Team team : owned.teams().values()) {
       if (team.phase() != Team.Phase.READY) {
-        team.setCancelledBound(cancelledJobs.maxHeldBy(team.name));
+        team.setCancelledMax(cancelledJobs.maxUseOfTeam(team.name));
       }
     }
   }
--- a/src/main/java/org/sandford/job/Resources.java
+++ b/src/main/java/org/sandford/job/Resources.java
@@ -31,8 +31,8 @@
   }
 
   /** Returns the smaller value of each resource. */
-  Resources atMost(Resources bound) {
-    return new Resources(Math.min(cpus, bound.cpus), Math.min(gpus, bound.gpus));
+  Resources min(Resources other) {
+    return new Resources(Math.min(cpus, other.cpus), Math.min(gpus, other.gpus));
   }
 
   /** Returns the difference, but never less than zero of each resource. */
--- a/src/main/java/org/sandford/job/SchedulingQueue.java
+++ b/src/main/java/org/sandford/job/SchedulingQueue.java
@@ -25,7 +25,7 @@
     List<Job> waiting = new ArrayList<>();
     long nowMs = loop.millis();
     for (Job job : owned.jobs().values()) {
-      if (job.runnable() && job.retry.isDue(nowMs) && mayBePlanned(job)) {
+      if (job.hasSchedulableTasks() && job.retry.isDue(nowMs) && mayBePlanned(job)) {
         waiting.add(job);
       }
     }
--- a/src/main/java/org/sandford/job/ServiceConsolidation.java
+++ b/src/main/java/org/sandford/job/ServiceConsolidation.java
@@ -99,7 +99,7 @@
     return job.spec.service()
         && job.phase() == Job.Phase.OPEN
         && job.tasks.waitingCount() == 0
-        && job.running() == job.spec.tasks();
+        && job.runningCount() == job.spec.tasks();
   }
 
   private boolean fitsOnMachineWithImage(
--- a/src/main/java/org/sandford/job/Submissions.java
+++ b/src/main/java/org/sandford/job/Submissions.java
@@ -18,12 +18,12 @@
  */
 final class Submissions {
   /** Listener for new jobs of this controller's teams. */
-  interface Changes {
+  interface Listener {
     /** Handles newly waiting jobs. */
-    void jobsChanged();
+    void jobsWaiting();
 
     /** Handles an adopted job, whose tasks a former owner may have started. */
-    void jobFound(Job job);
+    void jobAdopted(Job job);
   }
 
   private final JobAcceptance acceptance;
@@ -41,7 +41,7 @@
       TerminalStates terminalStates,
       JobReader jobReader,
       JobAnswers answers,
-      Changes listener) {
+      Listener listener) {
     JobRecordStore recordStore = new JobRecordStore(settings, cluster, writer);
     this.adoption =
         new JobAdoption(loop, cluster, owned, terminalStates, jobReader, recordStore, listener);
--- a/src/main/java/org/sandford/job/TaskExits.java
+++ b/src/main/java/org/sandford/job/TaskExits.java
@@ -38,7 +38,7 @@
   void placementExited(TaskPlacement placement, MachineSnapshot snapshot, TaskSnapshot task) {
     Job job = placement.job;
     if (isCompletion(job, task)) {
-      job.complete(task.task);
+      job.completeTask(task.task);
       ledger.release(placement);
       acknowledgeOnceStored(job, snapshot, task);
       return;
@@ -60,7 +60,7 @@
       return;
     }
     if (!job.tasks.isDone(task.task)) {
-      job.complete(task.task);
+      job.completeTask(task.task);
       // Another attempt may still run elsewhere; an unknown one is stopped once it is reported.
       TaskPlacement other = job.placementOf(task.task);
       if (other != null) {
--- a/src/main/java/org/sandford/job/TaskPlacements.java
+++ b/src/main/java/org/sandford/job/TaskPlacements.java
@@ -18,10 +18,10 @@
   private final Map<Integer, TaskPlacement> byTask = new TreeMap<>();
   private final Multiset<String> countByZone = HashMultiset.create();
   private final Multiset<String> countByMachine = HashMultiset.create();
-  private int running;
+  private int runningCount;
 
   /** Returns the task's placement, or null when the task waits or is done. */
-  TaskPlacement of(int task) {
+  TaskPlacement placementOf(int task) {
     return byTask.get(task);
   }
 
@@ -30,16 +30,16 @@
     return new ArrayList<>(byTask.values());
   }
 
-  int count() {
+  int placementCount() {
     return byTask.size();
   }
 
-  int running() {
-    return running;
+  int runningCount() {
+    return runningCount;
   }
 
   /** Returns the number of placements per zone, as a copy. */
-  Map<String, Integer> zones() {
+  Map<String, Integer> countByZone() {
     Map<String, Integer> zones = new HashMap<>();
     countByZone.entrySet().forEach(zone -> zones.put(zone.getElement(), zone.getCount()));
     return zones;
@@ -63,7 +63,7 @@
     }
     countByZone.add(placement.zone);
     countByMachine.add(placement.machine);
-    running += placement.isRunning() ? 1 : 0;
+    runningCount += placement.isRunning() ? 1 : 0;
   }
 
   /** Removes this placement. Returns false when its task has another one or none. */
@@ -78,13 +78,13 @@
   private void removeFromCounts(TaskPlacement placement) {
     countByZone.remove(placement.zone);
     countByMachine.remove(placement.machine);
-    running -= placement.isRunning() ? 1 : 0;
+    runningCount -= placement.isRunning() ? 1 : 0;
   }
 
   /** Updates the count of running tasks, unless the placement was replaced or removed. */
   void phaseChanged(TaskPlacement placement, boolean ranBefore) {
     if (byTask.get(placement.task) == placement) {
-      running += (placement.isRunning() ? 1 : 0) - (ranBefore ? 1 : 0);
+      runningCount += (placement.isRunning() ? 1 : 0) - (ranBefore ? 1 : 0);
     }
   }
 }
--- a/src/main/java/org/sandford/job/TaskReconciler.java
+++ b/src/main/java/org/sandford/job/TaskReconciler.java
@@ -51,16 +51,16 @@
     if (!isAuthoritative(snapshot)) {
       return;
     }
-    Set<Attempt> reported = new HashSet<>();
+    Set<AttemptId> reported = new HashSet<>();
     for (TaskSnapshot task : snapshot.tasks) {
-      reported.add(Attempt.of(task));
+      reported.add(AttemptId.of(task));
       Job job = owned.job(task.job);
       if (job != null) {
         reconcileTask(publisher, snapshot, job, task);
       }
     }
     for (TaskPlacement placement : ledger.placementsOn(snapshot.machine)) {
-      if (!reported.contains(Attempt.of(placement))) {
+      if (!reported.contains(AttemptId.of(placement))) {
         reconcileMissing(snapshot, placement);
       }
     }
@@ -80,7 +80,7 @@
       MachineSnapshot snapshot = receivedSnapshot.snapshot();
       if (isAuthoritative(snapshot)) {
         snapshot.tasks.stream()
-            .filter(task -> jobIds.contains(task.job) && owned.knows(task.job))
+            .filter(task -> jobIds.contains(task.job) && owned.contains(task.job))
             .forEach(
                 task ->
                     reconcileTask(receivedSnapshot.owner(), snapshot, owned.job(task.job), task));
@@ -166,7 +166,7 @@
   /** Stops a task of a cancelled job, or one that can save before its machine is interrupted. */
   private void stopIfRequired(TaskPlacement placement, MachineSnapshot snapshot) {
     Job job = placement.job;
-    if (job.phase() == Job.Phase.ABORTING) {
+    if (job.phase() == Job.Phase.CANCELLING) {
       commands.stop(placement, 0);
     } else if (snapshot.state == MachineState.INTERRUPTION_NOTICED
         && job.spec.checkpointIntervalS() > 0
--- a/src/main/java/org/sandford/job/Team.java
+++ b/src/main/java/org/sandford/job/Team.java
@@ -44,7 +44,7 @@
   /** Labels of the controllers that acknowledged the claim and refuse older generations. */
   final Set<String> claimAcknowledgedBy = new HashSet<>();
 
-  private UnreportedMachines unreported = UnreportedMachines.unlisted();
+  private UnreportedMachines unreported = UnreportedMachines.uninitialized();
 
   private long attemptCount;
 
@@ -149,7 +149,7 @@
   }
 
   /** Sets the most that unreported tasks of recently cancelled jobs may use. */
-  void setCancelledBound(Resources max) {
+  void setCancelledMax(Resources max) {
     cancelledMax = max;
   }
 
@@ -181,7 +181,7 @@
 
   /** Returns the most that tasks on unreported machines may use, limited by their capacity. */
   private Resources maxOnUnreportedMachines() {
-    return unlocatedMax.plus(cancelledMax).atMost(unreported.capacity());
+    return unlocatedMax.plus(cancelledMax).min(unreported.capacity());
   }
 
   /**
--- a/src/main/java/org/sandford/job/TeamOwnership.java
+++ b/src/main/java/org/sandford/job/TeamOwnership.java
@@ -46,7 +46,7 @@
   }
 
   /** Applies the assignment map; returns the acquired teams, whose jobs have yet to be loaded. */
-  List<Team> applyMap() {
+  List<Team> applyAssignments() {
     Map<String, TeamAssignment> assignments = cluster.teams().of();
     for (Team team : new ArrayList<>(owned.teams().values())) {
       TeamAssignment assignment = assignments.get(team.name);
--- a/src/main/java/org/sandford/job/TeamRecovery.java
+++ b/src/main/java/org/sandford/job/TeamRecovery.java
@@ -42,12 +42,12 @@
    * assignment map. Machines that enter the map later need no report: they follow the team's
    * assignment, so only owners that acknowledged the claim ever command them.
    */
-  void checkAll() {
+  void checkAllMachines() {
     for (Team team : owned.teams().values()) {
       if (team.phase() != Team.Phase.RECOVERING) {
         continue;
       }
-      if (!team.unreported().isListed()) {
+      if (!team.unreported().isInitialized()) {
         team.expectReports(assignedMachines());
       }
       team.unreported().removeIf(name -> hasReported(team, name));
@@ -70,9 +70,9 @@
   }
 
   /** Checks only the machines that just reported, as hundreds of snapshots follow a failover. */
-  void check(Iterable<MachineSnapshot> snapshots) {
+  void checkReporting(Iterable<MachineSnapshot> snapshots) {
     for (Team team : owned.teams().values()) {
-      if (team.phase() == Team.Phase.RECOVERING && team.unreported().isListed()) {
+      if (team.phase() == Team.Phase.RECOVERING && team.unreported().isInitialized()) {
         for (MachineSnapshot snapshot : snapshots) {
           if (team.unreported().contains(snapshot.machine) && hasReported(team, snapshot.machine)) {
             team.unreported().remove(snapshot.machine);
--- a/src/main/java/org/sandford/job/UnreportedMachines.java
+++ b/src/main/java/org/sandford/job/UnreportedMachines.java
@@ -20,16 +20,16 @@
   private Resources boundedCapacity = Resources.ZERO;
 
   /** Whether the machines of the assignment map were added. */
-  private final boolean listed;
+  private final boolean initialized;
 
   /** Returns a set that may include any machine, since the assignment map was not read yet. */
-  static UnreportedMachines unlisted() {
+  static UnreportedMachines uninitialized() {
     return new UnreportedMachines(machine -> Resources.UNBOUNDED, false);
   }
 
-  private UnreportedMachines(Function<String, Resources> capacityOf, boolean listed) {
+  private UnreportedMachines(Function<String, Resources> capacityOf, boolean initialized) {
     this.capacityOf = capacityOf;
-    this.listed = listed;
+    this.initialized = initialized;
   }
 
   /** Creates an empty set; {@code capacityOf} returns a machine's capacity by its name. */
@@ -37,8 +37,8 @@
     this(capacityOf, true);
   }
 
-  boolean isListed() {
-    return listed;
+  boolean isInitialized() {
+    return initialized;
   }
 
   void add(String machine) {
@@ -56,7 +56,7 @@
   }
 
   boolean isEmpty() {
-    return listed && capacityByMachine.isEmpty();
+    return initialized && capacityByMachine.isEmpty();
   }
 
   void remove(String machine) {
@@ -87,6 +87,6 @@
 
   /** Returns the total capacity of these machines, a bound on what their tasks use. */
   Resources capacity() {
-    return !listed || unboundedCount > 0 ? Resources.UNBOUNDED : boundedCapacity;
+    return !initialized || unboundedCount > 0 ? Resources.UNBOUNDED : boundedCapacity;
   }
 }
--- a/src/main/java/org/sandford/job/UntrackedTasks.java
+++ b/src/main/java/org/sandford/job/UntrackedTasks.java
@@ -74,7 +74,7 @@
   }
 
   private static boolean sameAttempt(TaskSnapshot a, TaskSnapshot b) {
-    return Attempt.of(a).equals(Attempt.of(b));
+    return AttemptId.of(a).equals(AttemptId.of(b));
   }
 
   /** Returns whether a task that has not exited may be of an owned team and is not tracked. */
--- a/src/test/java/org/sandford/job/JobTest.java
+++ b/src/test/java/org/sandford/job/JobTest.java
@@ -86,8 +86,8 @@
   @Test
   void exitAwaitsAcknowledgementOnlyOnce() {
     Job job = arrayJob();
-    assertTrue(job.exitsToAcknowledge.add(new Job.Clear(3, 7, "n1")));
-    assertFalse(job.exitsToAcknowledge.add(new Job.Clear(3, 7, "n1")));
+    assertTrue(job.exitsToAcknowledge.add(new Job.UnacknowledgedExit(3, 7, "n1")));
+    assertFalse(job.exitsToAcknowledge.add(new Job.UnacknowledgedExit(3, 7, "n1")));
   }
 
   @Test
@@ -97,12 +97,12 @@
     TaskPlacement later = place(job, 2, 1);
     job.recordPlacement(earlier);
     earlier.transitionTo(TaskPhase.RUNNING);
-    assertEquals(1, job.running());
+    assertEquals(1, job.runningCount());
     job.recordPlacement(later);
-    assertEquals(0, job.running());
+    assertEquals(0, job.runningCount());
     earlier.transitionTo(TaskPhase.STOPPING);
     later.transitionTo(TaskPhase.RUNNING);
-    assertEquals(1, job.running());
+    assertEquals(1, job.runningCount());
   }
 
   @Test
@@ -116,9 +116,9 @@
   @Test
   void endedJobRefusesOtherPhases() {
     Job job = arrayJob();
-    job.transitionTo(Job.Phase.ABORTING);
+    job.transitionTo(Job.Phase.CANCELLING);
     assertThrows(IllegalStateException.class, () -> job.transitionTo(Job.Phase.OPEN));
-    job.transitionTo(Job.Phase.ABORTED);
+    job.transitionTo(Job.Phase.CANCELLED);
     assertThrows(IllegalStateException.class, () -> job.transitionTo(Job.Phase.DONE));
   }
 }
