--- a/src/main/java/org/sandford/job/CandidateMachines.java
+++ b/src/main/java/org/sandford/job/CandidateMachines.java
@@ -102,7 +102,7 @@
     List<CandidateMachine> usable = new ArrayList<>(candidates.size());
     for (CandidateMachine candidate : candidates.values()) {
       if (ownerAcceptsRequests.computeIfAbsent(
-          candidate.owner,
+          candidate.ownerLabel,
           owner -> links.isLive(owner) && machineSnapshots.isOwnerLeaseValid(owner))) {
         usable.add(candidate);
       }
@@ -203,7 +203,7 @@
       if (task.state == TaskState.EXITED) {
         continue;
       }
-      candidate.take(task.cpus, task.gpus, task.ram);
+      candidate.allocate(task.cpus, task.gpus, task.ram);
       if (!placements.isEmpty()) {
         reported.add(AttemptId.of(task));
       }
@@ -211,7 +211,7 @@
     for (TaskPlacement placement : placements) {
       if (!reported.contains(AttemptId.of(placement))) {
         JobSpec spec = placement.job.spec;
-        candidate.take(spec.cpus(), spec.gpus(), spec.ram());
+        candidate.allocate(spec.cpus(), spec.gpus(), spec.ram());
       }
     }
   }
--- a/src/main/java/org/sandford/job/PlanningRound.java
+++ b/src/main/java/org/sandford/job/PlanningRound.java
@@ -116,7 +116,7 @@
       return EMPTY_PLAN;
     }
     ResourceRequest request = job.resourceRequest();
-    int maxFittingTasks = Planner.bound(request, requiredTasks, usableMachines);
+    int maxFittingTasks = Planner.upperBound(request, requiredTasks, usableMachines);
     Planner.Plan plan =
         maxFittingTasks < requiredTasks
             ? null
--- a/src/main/java/org/sandford/job/PreemptibleTasks.java
+++ b/src/main/java/org/sandford/job/PreemptibleTasks.java
@@ -73,7 +73,7 @@
         victim -> {
           List<Victim> gang =
               sharedAttempts.contains(victim.attempt()) ? gangTasks.get(gangKey(victim)) : null;
-          return gang == null ? victim : victim.inGang(gangKey(victim), gangLossCpuS(gang));
+          return gang == null ? victim : victim.asPartOfGang(gangKey(victim), gangLossCpuS(gang));
         });
   }
 
--- a/src/main/java/org/sandford/job/Preemptor.java
+++ b/src/main/java/org/sandford/job/Preemptor.java
@@ -83,7 +83,8 @@
     searchCount++;
     job.recordPreemptionRequest(loop.millis());
     List<Preemption.Eviction> evictions =
-        Preemption.choose(job.resourceRequest(), taskCount, usableMachines, victims, allOrNone);
+        Preemption.chooseEvictions(
+            job.resourceRequest(), taskCount, usableMachines, victims, allOrNone);
     if (evictions != null) {
       requestEvictions(team, job, evictions);
     }
@@ -110,7 +111,7 @@
       sendPreemptRequest(
           team,
           job,
-          candidate.owner,
+          candidate.ownerLabel,
           candidate.machine,
           eviction.tasks(),
           victimsOnMachine == null ? List.of() : victimsOnMachine);
@@ -128,7 +129,7 @@
 
   private static void deductResources(CandidateMachine candidate, Job job, int taskCount) {
     JobSpec spec = job.spec;
-    candidate.take(taskCount * spec.cpus(), taskCount * spec.gpus(), taskCount * spec.ram());
+    candidate.allocate(taskCount * spec.cpus(), taskCount * spec.gpus(), taskCount * spec.ram());
   }
 
   /**
@@ -144,12 +145,12 @@
     nextReservationAtMs = roundStartedAtMs + JobConstants.RESERVE_INTERVAL_MS;
     Planner.Plan plan = planner.place(job.resourceRequest(), taskCount, usableMachines, false);
     if (plan != null) {
-      plan.slots().forEach(slot -> requestReservation(team, job, slot));
+      plan.allocations().forEach(allocation -> requestReservation(team, job, allocation));
     }
   }
 
   /**
-   * Reserves the slots of the gang's plan at the machines' owners. The gang starts once all
+   * Reserves the resources of the gang's plan at the machines' owners. The gang starts once all
    * controllers have seen the reservations.
    */
   void reserve(Team team, Job gang, Planner.Plan plan) {
@@ -157,15 +158,20 @@
     long nowMs = loop.millis();
     gang.reservation.begin(nowMs);
     gang.retry.delayUntil(nowMs + GangConstants.GANG_RESERVE_MS);
-    for (Planner.Slot slot : plan.slots()) {
-      gang.reservation.add(slot.candidate().machine, slot.candidate().owner);
-      requestReservation(team, gang, slot);
+    for (Planner.Allocation allocation : plan.allocations()) {
+      gang.reservation.add(allocation.candidate().machine, allocation.candidate().ownerLabel);
+      requestReservation(team, gang, allocation);
     }
   }
 
-  private void requestReservation(Team team, Job job, Planner.Slot slot) {
+  private void requestReservation(Team team, Job job, Planner.Allocation allocation) {
     sendPreemptRequest(
-        team, job, slot.candidate().owner, slot.candidate().machine, slot.tasks(), List.of());
+        team,
+        job,
+        allocation.candidate().ownerLabel,
+        allocation.candidate().machine,
+        allocation.tasks(),
+        List.of());
   }
 
   /** Returns whether the gang's reservation stays valid for long enough to start the gang. */
@@ -175,7 +181,8 @@
 
   /** Releases the gang's reservations on machines that the plan does not use. */
   void releaseUnused(Team team, Job gang, Planner.Plan plan) {
-    plan.slots().forEach(slot -> gang.reservation.markUsed(slot.candidate().machine));
+    plan.allocations()
+        .forEach(allocation -> gang.reservation.markUsed(allocation.candidate().machine));
     releaseReservation(team, gang);
   }
 
--- a/src/main/java/org/sandford/job/TaskStarter.java
+++ b/src/main/java/org/sandford/job/TaskStarter.java
@@ -37,20 +37,20 @@
     long gangAttempt = gang ? team.nextAttempt() : 0;
     int nextIndex = 0;
     job.setWaitReason(WaitReason.NONE);
-    for (Planner.Slot slot : plan.slots()) {
-      long generation = cluster.machines().of().get(slot.candidate().machine).generation();
-      for (int i = 0; i < slot.tasks(); i++) {
+    for (Planner.Allocation allocation : plan.allocations()) {
+      long generation = cluster.machines().of().get(allocation.candidate().machine).generation();
+      for (int i = 0; i < allocation.tasks(); i++) {
         long attempt = gang ? gangAttempt : team.nextAttempt();
         TaskPlacement placement =
             new TaskPlacement(
                 job,
                 tasks.get(nextIndex++),
                 attempt,
-                slot.candidate().machine,
+                allocation.candidate().machine,
                 generation,
-                slot.candidate().owner,
-                commands.linkEpoch(slot.candidate().owner),
-                slot.candidate().zone,
+                allocation.candidate().ownerLabel,
+                commands.linkEpoch(allocation.candidate().ownerLabel),
+                allocation.candidate().zone,
                 TaskPhase.REQUESTED);
         if (!recordAndRequestStart(team, placement)) {
           unsent.add(placement);
--- a/src/main/java/org/sandford/placement/CandidateMachine.java
+++ b/src/main/java/org/sandford/placement/CandidateMachine.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * A machine with its attributes and free resources, as input to placement. Planning takes resources
- * from it, so a candidate is valid for one planning round. CPUs and accelerators are counts, memory
- * is in GB.
+ * A machine with its attributes and free resources, as input to placement. Planning allocates
+ * resources from it, so a candidate is valid for one planning round. CPUs and accelerators are
+ * counts, memory is in GB.
  */
 public final class CandidateMachine {
   /** Resources reserved for a job against all jobs that go after it. */
@@ -16,7 +16,7 @@
   private static final double[] NO_RESOURCES = new double[3];
 
   public final String machine;
-  public final String owner;
+  public final String ownerLabel;
   public final String instanceType;
   public final String zone;
   public final boolean spot;
@@ -38,12 +38,12 @@
   /**
    * Creates a machine whose resources are all free.
    *
-   * @param owner label of the controller that owns it
+   * @param ownerLabel label of the controller that owns it
    * @param ownedLocally whether this controller owns it
    */
   public CandidateMachine(
       String machine,
-      String owner,
+      String ownerLabel,
       String instanceType,
       String zone,
       boolean spot,
@@ -52,7 +52,7 @@
       double gpus,
       double ram) {
     this.machine = machine;
-    this.owner = owner;
+    this.ownerLabel = ownerLabel;
     this.instanceType = instanceType;
     this.zone = zone;
     this.spot = spot;
@@ -102,10 +102,10 @@
     return NO_RESOURCES;
   }
 
-  /** Subtracts resources from the free ones. */
-  public void take(double takenCpus, double takenGpus, double takenRam) {
-    freeCpus -= takenCpus;
-    freeGpus -= takenGpus;
-    freeRam -= takenRam;
+  /** Subtracts the allocated resources from the free ones. */
+  public void allocate(double allocatedCpus, double allocatedGpus, double allocatedRam) {
+    freeCpus -= allocatedCpus;
+    freeGpus -= allocatedGpus;
+    freeRam -= allocatedRam;
   }
 }
--- a/src/main/java/org/sandford/placement/Planner.java
+++ b/src/main/java/org/sandford/placement/Planner.java
@@ -18,15 +18,15 @@
  * chosen machine takes as many as fit, so the cost of a plan grows with the number of machines, not
  * of tasks.
  *
- * <p>Except for {@link #scoredCandidates} it has no state: it reads the given candidates and takes
- * the resources of a returned plan from them. Not thread-safe.
+ * <p>Except for {@link #scoredCandidates} it has no state: it reads the given candidates and
+ * allocates the resources of a returned plan from them. Not thread-safe.
  */
 public final class Planner {
   /** A number of tasks on one machine. */
-  public record Slot(CandidateMachine candidate, int tasks) {}
+  public record Allocation(CandidateMachine candidate, int tasks) {}
 
   /** A plan with its score; lower is better. */
-  public record Plan(List<Slot> slots, double score, int tasks) {}
+  public record Plan(List<Allocation> allocations, double score, int tasks) {}
 
   /** Counts the scored candidates, so that tests can limit the cost of a plan. */
   private long scoredCandidates;
@@ -38,10 +38,10 @@
 
   /**
    * Plans up to {@code count} tasks, on the machines of this controller's shard first, unless the
-   * request prefers a cached image. Takes the resources of the plan from the candidates.
+   * request prefers a cached image. Allocates the resources of the plan from the candidates.
    *
-   * @return the plan; null, with nothing taken, when no task fits or, with {@code allOrNone}, not
-   *     every task fits
+   * @return the plan; null, with nothing allocated, when no task fits or, with {@code allOrNone},
+   *     not every task fits
    */
   public Plan place(
       ResourceRequest request,
@@ -50,11 +50,11 @@
       boolean allOrNone) {
     if (!request.sameZone()) {
       return commit(
-          request, count, draftPlan(request, count, candidates, request.zone()), allOrNone);
+          request, count, buildPlan(request, count, candidates, request.zone()), allOrNone);
     }
     Plan best = null;
     for (String zone : eligibleZones(request, candidates)) {
-      Plan plan = draftPlan(request, count, candidates, zone);
+      Plan plan = buildPlan(request, count, candidates, zone);
       if (plan.tasks > 0
           && (best == null
               || plan.tasks > best.tasks
@@ -70,7 +70,7 @@
    * spreading rules are ignored. The bound is far cheaper than a plan; when it is too low, no plan
    * need be tried.
    */
-  public static int bound(
+  public static int upperBound(
       ResourceRequest request, int limit, Collection<CandidateMachine> candidates) {
     int bound = 0;
     for (CandidateMachine candidate : candidates) {
@@ -111,17 +111,20 @@
     if (plan == null || plan.tasks == 0 || (allOrNone && plan.tasks < count)) {
       return null;
     }
-    for (Slot slot : plan.slots) {
-      slot.candidate.take(
-          request.cpus() * slot.tasks, request.gpus() * slot.tasks, request.ram() * slot.tasks);
+    for (Allocation allocation : plan.allocations) {
+      allocation.candidate.allocate(
+          request.cpus() * allocation.tasks,
+          request.gpus() * allocation.tasks,
+          request.ram() * allocation.tasks);
     }
     return plan;
   }
 
   /**
-   * Drafts a greedy plan for one zone, or for all when {@code zone} is empty; takes no resources.
+   * Builds a greedy plan for one zone, or for all when {@code zone} is empty; allocates no
+   * resources.
    */
-  private Plan draftPlan(
+  private Plan buildPlan(
       ResourceRequest request, int count, Collection<CandidateMachine> candidates, String zone) {
     List<CandidateMachine> preferredCandidates = new ArrayList<>();
     List<CandidateMachine> otherCandidates = new ArrayList<>();
@@ -137,21 +140,21 @@
             .add(candidate);
       }
     }
-    Draft draft = new Draft(request, count);
+    PlanBuilder builder = new PlanBuilder(request, count);
     for (List<CandidateMachine> group : List.of(preferredCandidates, otherCandidates)) {
       if (request.service() || request.spreadAcrossZones()) {
-        spread(draft, group);
+        spread(builder, group);
       } else {
-        pack(draft, group);
+        pack(builder, group);
       }
     }
-    return new Plan(draft.slots, draft.score, count - draft.remainingTasks);
+    return new Plan(builder.allocations, builder.score, count - builder.remainingTasks);
   }
 
   /** A plan that is being built. */
-  private static final class Draft {
+  private static final class PlanBuilder {
     final ResourceRequest request;
-    final List<Slot> slots = new ArrayList<>();
+    final List<Allocation> allocations = new ArrayList<>();
 
     /** Tasks of the job by zone, including those of the plan. */
     final Map<String, Integer> tasksByZone;
@@ -163,7 +166,7 @@
     double score;
     int remainingTasks;
 
-    Draft(ResourceRequest request, int count) {
+    PlanBuilder(ResourceRequest request, int count) {
       this.request = request;
       this.remainingTasks = count;
       this.tasksByZone = new HashMap<>(request.tasksByZone());
@@ -184,9 +187,9 @@
           request, candidate, tasksByZone, machinesInUse, plannedTasks.getOrDefault(candidate, 0));
     }
 
-    void add(CandidateMachine candidate, int tasks, double slotScore) {
-      slots.add(new Slot(candidate, tasks));
-      score += slotScore;
+    void add(CandidateMachine candidate, int tasks, double allocationScore) {
+      allocations.add(new Allocation(candidate, tasks));
+      score += allocationScore;
       tasksByZone.merge(candidate.zone, tasks, Integer::sum);
       machinesInUse.add(candidate.machine);
       remainingTasks -= tasks;
@@ -197,62 +200,64 @@
    * Plans tasks without a spreading rule. A chosen machine takes all tasks that fit, so each
    * candidate is chosen at most once. The scores of the others change only when the plan gets its
    * first machine or a new zone, and are recomputed only then; otherwise a large array on a large
-   * cluster would need a score for each pair of slot and machine.
+   * cluster would need a score of each machine for each allocation.
    */
-  private void pack(Draft draft, List<CandidateMachine> candidates) {
+  private void pack(PlanBuilder builder, List<CandidateMachine> candidates) {
     List<CandidateMachine> unusedCandidates = candidates;
-    while (draft.remainingTasks > 0 && !unusedCandidates.isEmpty()) {
-      PriorityQueue<Scored> queue = rank(draft, unusedCandidates);
+    while (builder.remainingTasks > 0 && !unusedCandidates.isEmpty()) {
+      PriorityQueue<ScoredCandidate> queue = rank(builder, unusedCandidates);
       boolean scoresValid = true;
-      while (draft.remainingTasks > 0 && scoresValid && !queue.isEmpty()) {
-        Scored best = queue.poll();
+      while (builder.remainingTasks > 0 && scoresValid && !queue.isEmpty()) {
+        ScoredCandidate best = queue.poll();
         CandidateMachine candidate = best.candidate;
-        boolean firstMachine = draft.machinesInUse.isEmpty();
-        boolean newZone = draft.tasksInZone(candidate) == 0;
+        boolean firstMachine = builder.machinesInUse.isEmpty();
+        boolean newZone = builder.tasksInZone(candidate) == 0;
         scoresValid = !firstMachine && !newZone;
-        int tasks = Math.min(draft.remainingTasks, draft.request.countFitting(candidate));
-        draft.add(candidate, tasks, best.score);
+        int tasks = Math.min(builder.remainingTasks, builder.request.countFitting(candidate));
+        builder.add(candidate, tasks, best.score);
       }
-      List<Scored> remaining = new ArrayList<>(queue);
-      remaining.sort(Comparator.comparingInt(Scored::order));
-      unusedCandidates = remaining.stream().map(Scored::candidate).toList();
+      List<ScoredCandidate> remaining = new ArrayList<>(queue);
+      remaining.sort(Comparator.comparingInt(ScoredCandidate::order));
+      unusedCandidates = remaining.stream().map(ScoredCandidate::candidate).toList();
     }
   }
 
-  private PriorityQueue<Scored> rank(Draft draft, List<CandidateMachine> candidates) {
-    List<Scored> ranked = new ArrayList<>(candidates.size());
+  private PriorityQueue<ScoredCandidate> rank(
+      PlanBuilder builder, List<CandidateMachine> candidates) {
+    List<ScoredCandidate> ranked = new ArrayList<>(candidates.size());
     for (CandidateMachine candidate : candidates) {
       scoredCandidates++;
-      double score = score(draft.request, candidate, draft.tasksByZone, draft.machinesInUse, 0);
-      ranked.add(new Scored(candidate, score, ranked.size()));
+      double score =
+          score(builder.request, candidate, builder.tasksByZone, builder.machinesInUse, 0);
+      ranked.add(new ScoredCandidate(candidate, score, ranked.size()));
     }
     return new PriorityQueue<>(ranked);
   }
 
   /** A candidate with its score; of equal scores, the candidate listed earlier goes first. */
-  private record Scored(CandidateMachine candidate, double score, int order)
-      implements Comparable<Scored> {
+  private record ScoredCandidate(CandidateMachine candidate, double score, int order)
+      implements Comparable<ScoredCandidate> {
     @Override
-    public int compareTo(Scored other) {
+    public int compareTo(ScoredCandidate other) {
       int byScore = Double.compare(score, other.score);
       return byScore != 0 ? byScore : Integer.compare(order, other.order);
     }
   }
 
-  /** Plans tasks that spread over zones: scores all candidates again for each slot. */
-  private void spread(Draft draft, List<CandidateMachine> candidates) {
-    ResourceRequest request = draft.request;
-    while (draft.remainingTasks > 0) {
+  /** Plans tasks that spread over zones: scores all candidates again for each allocation. */
+  private void spread(PlanBuilder builder, List<CandidateMachine> candidates) {
+    ResourceRequest request = builder.request;
+    while (builder.remainingTasks > 0) {
       CandidateMachine best = null;
       double bestScore = 0;
       int bestPlacedInZone = 0;
       for (CandidateMachine candidate : candidates) {
-        int placedInZone = draft.tasksInZone(candidate);
-        if (placedInZone >= request.maxTasksPerZone() || draft.countFitting(candidate) <= 0) {
+        int placedInZone = builder.tasksInZone(candidate);
+        if (placedInZone >= request.maxTasksPerZone() || builder.countFitting(candidate) <= 0) {
           continue;
         }
         scoredCandidates++;
-        double score = draft.scoreOf(candidate);
+        double score = builder.scoreOf(candidate);
         // Replicas are spread evenly over zones; the score decides only between equally loaded
         // zones.
         boolean compareByZone = request.service() && placedInZone != bestPlacedInZone;
@@ -265,11 +270,11 @@
       if (best == null) {
         return;
       }
-      int maxTasks = Math.min(draft.remainingTasks, draft.countFitting(best));
+      int maxTasks = Math.min(builder.remainingTasks, builder.countFitting(best));
       int tasks =
           request.service() ? 1 : Math.min(maxTasks, request.maxTasksPerZone() - bestPlacedInZone);
-      draft.add(best, tasks, bestScore);
-      draft.plannedTasks.merge(best, tasks, Integer::sum);
+      builder.add(best, tasks, bestScore);
+      builder.plannedTasks.merge(best, tasks, Integer::sum);
     }
   }
 
--- a/src/main/java/org/sandford/placement/Preemption.java
+++ b/src/main/java/org/sandford/placement/Preemption.java
@@ -56,7 +56,7 @@
     }
 
     /** Returns the same task as part of a gang, with the loss of the whole gang. */
-    public Victim inGang(String name, double gangLossCpuS) {
+    public Victim asPartOfGang(String name, double gangLossCpuS) {
       return new Victim(
           machine, team, job, task, attempt, rank, cpus, gpus, ram, gangLossCpuS, name);
     }
@@ -79,10 +79,10 @@
   /** Gangs already chosen to stop: stopping further tasks of them adds no loss. */
   private final Set<String> stoppedGangs = new HashSet<>();
 
-  /** The current offer of each machine; the queue also holds outdated offers. */
-  private final Map<CandidateMachine, Offer> currentOffers = new HashMap<>();
+  /** The current option of each machine; the queue also holds outdated ones. */
+  private final Map<CandidateMachine, EvictionOption> currentOptions = new HashMap<>();
 
-  private final PriorityQueue<Offer> offers = new PriorityQueue<>();
+  private final PriorityQueue<EvictionOption> options = new PriorityQueue<>();
   private final Map<String, Integer> tasksByZone;
   private final Map<CandidateMachine, Eviction> evictions = new LinkedHashMap<>();
   private String requiredZone;
@@ -113,9 +113,9 @@
 
   /**
    * Finds resources for {@code count} tasks, free ones first, then those of victims; returns null
-   * when they do not suffice. Takes nothing from the candidates.
+   * when they do not suffice. Allocates nothing from the candidates.
    */
-  public static List<Eviction> choose(
+  public static List<Eviction> chooseEvictions(
       ResourceRequest request,
       int count,
       Collection<CandidateMachine> candidates,
@@ -124,17 +124,17 @@
     if (request.sameZone() && request.zone().isEmpty() && request.tasksByZone().isEmpty()) {
       return chooseInCheapestZone(request, count, candidates, victims, allOrNone);
     }
-    return new Preemption(request, candidates, victims).chooseEvictions(count, allOrNone);
+    return new Preemption(request, candidates, victims).findEvictions(count, allOrNone);
   }
 
-  private List<Eviction> chooseEvictions(int count, boolean allOrNone) {
-    // Accepting an offer changes only its own machine and those of the stopped gangs, so only their
-    // offers are recomputed.
-    freeByCandidate.keySet().forEach(this::updateOffer);
+  private List<Eviction> findEvictions(int count, boolean allOrNone) {
+    // Accepting an option changes only its own machine and those of the stopped gangs, so only
+    // their options are recomputed.
+    freeByCandidate.keySet().forEach(this::updateOption);
     int remainingTasks = count;
-    while (remainingTasks > 0 && !offers.isEmpty()) {
-      Offer best = offers.poll();
-      if (best.equals(currentOffers.get(best.candidate)) && isZoneAllowed(best.candidate.zone)) {
+    while (remainingTasks > 0 && !options.isEmpty()) {
+      EvictionOption best = options.poll();
+      if (best.equals(currentOptions.get(best.candidate)) && isZoneAllowed(best.candidate.zone)) {
         accept(best);
         remainingTasks--;
       }
@@ -171,13 +171,13 @@
         && (requiredZone.isEmpty() || requiredZone.equals(zone));
   }
 
-  private void accept(Offer offer) {
-    CandidateMachine candidate = offer.candidate;
+  private void accept(EvictionOption option) {
+    CandidateMachine candidate = option.candidate;
     double[] available = freeByCandidate.get(candidate);
     available[0] -= request.cpus();
     available[1] -= request.gpus();
     available[2] -= request.ram();
-    for (Victim victim : offer.victimsToStop) {
+    for (Victim victim : option.victimsToStop) {
       available[0] += victim.cpus;
       available[1] += victim.gpus;
       available[2] += victim.ram;
@@ -185,43 +185,44 @@
     }
     Eviction previous = evictions.getOrDefault(candidate, new Eviction(candidate, List.of(), 0));
     List<Victim> victimsOnMachine = new ArrayList<>(previous.victims);
-    victimsOnMachine.addAll(offer.victimsToStop);
+    victimsOnMachine.addAll(option.victimsToStop);
     evictions.put(candidate, new Eviction(candidate, victimsOnMachine, previous.tasks + 1));
     tasksByZone.merge(candidate.zone, 1, Integer::sum);
     if (request.sameZone()) {
       requiredZone = candidate.zone;
     }
-    offer.victimsToStop.forEach(this::stopGang);
-    updateOffer(candidate);
+    option.victimsToStop.forEach(this::stopGang);
+    updateOption(candidate);
   }
 
-  /** Marks the victim's gang as stopped and updates the offers of its other machines. */
+  /** Marks the victim's gang as stopped and updates the options of its other machines. */
   private void stopGang(Victim victim) {
     if (victim.isInGang() && stoppedGangs.add(victim.gang)) {
       for (String machine : machinesByGang.get(victim.gang)) {
         sortVictims(victimsByMachine.get(machine));
         CandidateMachine candidate = candidatesByName.get(machine);
         if (candidate != null && !machine.equals(victim.machine)) {
-          updateOffer(candidate);
+          updateOption(candidate);
         }
       }
     }
   }
 
-  /** Recomputes the offer of the machine; removes it when one more task cannot fit. */
-  private void updateOffer(CandidateMachine candidate) {
+  /** Recomputes the option of the machine; removes it when one more task cannot fit. */
+  private void updateOption(CandidateMachine candidate) {
     List<Victim> victimsToStop =
         firstSufficientVictims(
             freeByCandidate.get(candidate),
             victimsByMachine.getOrDefault(candidate.machine, List.of()));
     if (victimsToStop == null) {
-      currentOffers.remove(candidate);
+      currentOptions.remove(candidate);
       return;
     }
-    Offer offer =
-        new Offer(candidate, victimsToStop, additionalLoss(victimsToStop), order.get(candidate));
-    currentOffers.put(candidate, offer);
-    offers.add(offer);
+    EvictionOption option =
+        new EvictionOption(
+            candidate, victimsToStop, additionalLoss(victimsToStop), order.get(candidate));
+    currentOptions.put(candidate, option);
+    options.add(option);
   }
 
   /**
@@ -268,7 +269,7 @@
     for (String zone :
         candidates.stream().map(candidate -> candidate.zone).distinct().sorted().toList()) {
       List<Eviction> found =
-          choose(request.restrictedToZone(zone), count, candidates, victims, allOrNone);
+          chooseEvictions(request.restrictedToZone(zone), count, candidates, victims, allOrNone);
       if (found != null && (best == null || isBetter(found, best))) {
         best = found;
       }
@@ -298,11 +299,11 @@
   }
 
   /** The victims and the loss that one more task on the machine would cost. */
-  private record Offer(
+  private record EvictionOption(
       CandidateMachine candidate, List<Victim> victimsToStop, double loss, int order)
-      implements Comparable<Offer> {
+      implements Comparable<EvictionOption> {
     @Override
-    public int compareTo(Offer other) {
+    public int compareTo(EvictionOption other) {
       int byLoss = Double.compare(loss, other.loss);
       return byLoss != 0 ? byLoss : Integer.compare(order, other.order);
     }
--- a/src/main/java/org/sandford/scaling/Drain.java
+++ b/src/main/java/org/sandford/scaling/Drain.java
@@ -127,7 +127,7 @@
     double used = 0;
     for (TaskSnapshot task : snapshot.tasks) {
       if (task.state != TaskState.EXITED) {
-        candidate.take(task.cpus, task.gpus, task.ram);
+        candidate.allocate(task.cpus, task.gpus, task.ram);
         used += task.cpus;
       }
     }
@@ -155,13 +155,13 @@
 
   /** Whether the machine's tasks fit on other machines of its zone and leave the headroom free. */
   private static boolean fitsElsewhere(MachineSnapshot snapshot, Fleet fleet) {
-    List<FreeAmounts> others = new ArrayList<>();
+    List<FreeResources> others = new ArrayList<>();
     double freeCpus = 0;
     for (CandidateMachine candidate : fleet.candidates.values()) {
       if (!candidate.machine.equals(snapshot.machine)) {
         freeCpus += candidate.freeCpus;
         if (candidate.zone.equals(snapshot.zone) && (snapshot.spot || !candidate.spot)) {
-          others.add(new FreeAmounts(candidate));
+          others.add(new FreeResources(candidate));
         }
       }
     }
@@ -169,7 +169,7 @@
       if (task.state == TaskState.EXITED) {
         continue;
       }
-      if (!takeFirstFit(task, others)) {
+      if (!allocateFirstFit(task, others)) {
         return false;
       }
       freeCpus -= task.cpus;
@@ -178,10 +178,10 @@
     return freeCpus >= ScalingConstants.HEADROOM_SHARE * remainingCpus;
   }
 
-  private static boolean takeFirstFit(TaskSnapshot task, List<FreeAmounts> machines) {
-    for (FreeAmounts machine : machines) {
+  private static boolean allocateFirstFit(TaskSnapshot task, List<FreeResources> machines) {
+    for (FreeResources machine : machines) {
       if (machine.fits(task)) {
-        machine.take(task);
+        machine.allocate(task);
         return true;
       }
     }
@@ -189,12 +189,12 @@
   }
 
   /** The free resources of a machine during a trial placement. */
-  private static final class FreeAmounts {
+  private static final class FreeResources {
     private double cpus;
     private double gpus;
     private double ram;
 
-    FreeAmounts(CandidateMachine candidate) {
+    FreeResources(CandidateMachine candidate) {
       cpus = candidate.freeCpus;
       gpus = candidate.freeGpus;
       ram = candidate.freeRam;
@@ -206,7 +206,7 @@
           && task.ram <= ram + PlacementConstants.EPSILON;
     }
 
-    void take(TaskSnapshot task) {
+    void allocate(TaskSnapshot task) {
       cpus -= task.cpus;
       gpus -= task.gpus;
       ram -= task.ram;
--- a/src/main/java/org/sandford/scaling/ScaleOut.java
+++ b/src/main/java/org/sandford/scaling/ScaleOut.java
@@ -106,7 +106,7 @@
       }
       for (TaskSnapshot task : snapshot.tasks) {
         if (task.state != TaskState.EXITED) {
-          candidate.take(task.cpus, task.gpus, task.ram);
+          candidate.allocate(task.cpus, task.gpus, task.ram);
         }
       }
     }
--- a/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
+++ b/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
@@ -49,7 +49,7 @@
   /** How many more machines the operators' limit allows. */
   private int remainingMachines;
 
-  /** Creates a planner for one plan, which takes resources from the candidates. */
+  /** Creates a planner for one plan, which allocates resources from the candidates. */
   ScaleOutPlanner(Market market, List<CandidateMachine> candidates, int remainingMachines) {
     this.market = market;
     this.candidates = new ArrayList<>(candidates);
@@ -205,7 +205,7 @@
               request.maxTasksPerZone() - tasksByZone.getOrDefault(candidate.zone, 0));
       int tasks = Math.min(maxTasks, request.countFitting(candidate));
       if (tasks > 0) {
-        candidate.take(tasks * request.cpus(), tasks * request.gpus(), tasks * request.ram());
+        candidate.allocate(tasks * request.cpus(), tasks * request.gpus(), tasks * request.ram());
         tasksByZone.merge(candidate.zone, tasks, Integer::sum);
         machinesForDemand.add(candidate.machine);
         remainingTasks -= tasks;
--- a/src/test/java/org/sandford/placement/PlannerTest.java
+++ b/src/test/java/org/sandford/placement/PlannerTest.java
@@ -18,7 +18,7 @@
       String name, String zone, double cpus, double usedCpus, boolean own) {
     CandidateMachine candidate =
         new CandidateMachine(name, "c0", "m", zone, false, own, cpus, 0, 64);
-    candidate.take(usedCpus, 0, 0);
+    candidate.allocate(usedCpus, 0, 0);
     return candidate;
   }
 
@@ -84,8 +84,11 @@
         continue;
       }
       Map<String, Integer> zones = new HashMap<>();
-      plan.slots().forEach(slot -> zones.merge(slot.candidate().zone, slot.tasks(), Integer::sum));
-      int placed = plan.slots().stream().mapToInt(Planner.Slot::tasks).sum();
+      plan.allocations()
+          .forEach(
+              allocation ->
+                  zones.merge(allocation.candidate().zone, allocation.tasks(), Integer::sum));
+      int placed = plan.allocations().stream().mapToInt(Planner.Allocation::tasks).sum();
       assertEquals(plan.tasks(), placed);
       assertTrue(placed <= tasks && (!allOrNone || placed == tasks), "seed " + seed);
       candidates.forEach(
@@ -128,7 +131,7 @@
                 1,
                 List.of(candidate("empty", "a", 16, 0, true), fuller),
                 true);
-    assertEquals("fuller", plan.slots().get(0).candidate().machine);
+    assertEquals("fuller", plan.allocations().get(0).candidate().machine);
   }
 
   @Test
@@ -140,7 +143,7 @@
                 1,
                 List.of(candidate("other", "a", 16, 8, false), candidate("own", "a", 16, 0, true)),
                 true);
-    assertEquals("own", plan.slots().get(0).candidate().machine);
+    assertEquals("own", plan.allocations().get(0).candidate().machine);
   }
 
   @Test
--- a/src/test/java/org/sandford/placement/PreemptionTest.java
+++ b/src/test/java/org/sandford/placement/PreemptionTest.java
@@ -17,7 +17,7 @@
 
   private static CandidateMachine fullMachine(String name) {
     CandidateMachine candidate = new CandidateMachine(name, "c0", "m", "a", false, true, 8, 0, 64);
-    candidate.take(8, 0, 8);
+    candidate.allocate(8, 0, 8);
     return candidate;
   }
 
@@ -29,7 +29,8 @@
   void preemptsTheTaskWithTheLeastProgress() {
     List<Victim> victims = List.of(victim("n0", 0, 2, 4, 50), victim("n1", 1, 2, 4, 5));
     List<Preemption.Eviction> evictions =
-        Preemption.choose(REQUEST, 1, List.of(fullMachine("n0"), fullMachine("n1")), victims, true);
+        Preemption.chooseEvictions(
+            REQUEST, 1, List.of(fullMachine("n0"), fullMachine("n1")), victims, true);
     assertEquals(1, evictions.size());
     assertEquals("n1", evictions.get(0).candidate().machine);
   }
@@ -38,7 +39,7 @@
   void preemptsTheLowestRankOfAMachineFirst() {
     List<Victim> victims = List.of(victim("n0", 0, 2, 4, 1), victim("n0", 1, 3, 4, 90));
     List<Preemption.Eviction> evictions =
-        Preemption.choose(REQUEST, 1, List.of(fullMachine("n0")), victims, true);
+        Preemption.chooseEvictions(REQUEST, 1, List.of(fullMachine("n0")), victims, true);
     assertEquals(1, evictions.get(0).victims().get(0).task());
   }
 
@@ -47,7 +48,8 @@
     CandidateMachine candidate = fullMachine("n0");
     candidate.reservations = List.of(new CandidateMachine.Reservation("wk-9", 1, 50, 4, 0, 1));
     List<Preemption.Eviction> evictions =
-        Preemption.choose(REQUEST, 1, List.of(candidate), List.of(victim("n0", 0, 2, 4, 1)), true);
+        Preemption.chooseEvictions(
+            REQUEST, 1, List.of(candidate), List.of(victim("n0", 0, 2, 4, 1)), true);
     assertEquals(List.of(), evictions.get(0).victims());
   }
 
@@ -62,7 +64,8 @@
   }
 
   private static Victim gangVictim(String machine, int task, double lossCpuS) {
-    return new Victim(machine, "t", "wk-2", task, 7, 2, 4, 0, 1, 0).inGang("wk-2@7", lossCpuS);
+    return new Victim(machine, "t", "wk-2", task, 7, 2, 4, 0, 1, 0)
+        .asPartOfGang("wk-2@7", lossCpuS);
   }
 
   @Test
@@ -75,15 +78,18 @@
             gangVictim("n1", 0, 100),
             victim("n2", 1, 2, 4, 22),
             gangVictim("n3", 1, 100));
-    List<Preemption.Eviction> one = Preemption.choose(REQUEST, 1, candidates, victims, true);
+    List<Preemption.Eviction> one =
+        Preemption.chooseEvictions(REQUEST, 1, candidates, victims, true);
     assertEquals(
         "n0", one.get(0).candidate().machine, "losses: 80 for the array, 100 for the gang");
-    List<Preemption.Eviction> two = Preemption.choose(REQUEST, 2, candidates, victims, true);
+    List<Preemption.Eviction> two =
+        Preemption.chooseEvictions(REQUEST, 2, candidates, victims, true);
     assertEquals(
         List.of("n0", "n2"),
         two.stream().map(eviction -> eviction.candidate().machine).toList(),
         "chosen one task at a time");
-    List<Preemption.Eviction> four = Preemption.choose(REQUEST, 4, candidates, victims, true);
+    List<Preemption.Eviction> four =
+        Preemption.chooseEvictions(REQUEST, 4, candidates, victims, true);
     assertEquals(4, four.size());
   }
 
@@ -93,7 +99,8 @@
         List.of(fullMachine("n1"), fullMachine("n2"), fullMachine("n3"));
     List<Victim> victims =
         List.of(gangVictim("n1", 0, 100), victim("n2", 1, 2, 4, 26), gangVictim("n3", 1, 100));
-    List<Preemption.Eviction> two = Preemption.choose(REQUEST, 2, candidates, victims, true);
+    List<Preemption.Eviction> two =
+        Preemption.chooseEvictions(REQUEST, 2, candidates, victims, true);
     assertEquals(
         List.of("n1", "n3"), two.stream().map(eviction -> eviction.candidate().machine).toList());
   }
@@ -108,7 +115,8 @@
         List.of(fullMachine("n0"), fullMachineInZone("n1", "b"), fullMachineInZone("n2", "b"));
     List<Victim> victims =
         List.of(victim("n0", 0, 2, 4, 1), victim("n1", 1, 2, 4, 50), victim("n2", 2, 2, 4, 50));
-    List<Preemption.Eviction> evictions = Preemption.choose(sameZone, 2, candidates, victims, true);
+    List<Preemption.Eviction> evictions =
+        Preemption.chooseEvictions(sameZone, 2, candidates, victims, true);
     assertEquals(
         List.of("n1", "n2"),
         evictions.stream().map(eviction -> eviction.candidate().machine).sorted().toList());
@@ -116,14 +124,14 @@
 
   private static CandidateMachine fullMachineInZone(String name, String zone) {
     CandidateMachine candidate = new CandidateMachine(name, "c0", "m", zone, false, true, 8, 0, 64);
-    candidate.take(8, 0, 8);
+    candidate.allocate(8, 0, 8);
     return candidate;
   }
 
   @Test
   void preemptsNothingWhenNotAllTasksFit() {
     assertNull(
-        Preemption.choose(
+        Preemption.chooseEvictions(
             REQUEST, 2, List.of(fullMachine("n0")), List.of(victim("n0", 0, 2, 4, 1)), true));
   }
 }
--- a/src/test/java/org/sandford/scaling/ScaleOutPlannerTest.java
+++ b/src/test/java/org/sandford/scaling/ScaleOutPlannerTest.java
@@ -63,7 +63,7 @@
 
   @Test
   void provisionsHeadroomOnDemand() {
-    addMachine(ON_DEMAND).take(8, 0, 8);
+    addMachine(ON_DEMAND).allocate(8, 0, 8);
     ScaleOutPlanner planner = new ScaleOutPlanner(market(), candidates, MAX_MACHINES);
     assertEquals(Map.of(ON_DEMAND, 1), planner.plan(List.of()));
   }
