--- a/src/main/java/org/sandford/cancel/Cancellations.java
+++ b/src/main/java/org/sandford/cancel/Cancellations.java
@@ -49,7 +49,7 @@
   }
 
   /** Reports how current this controller's view of the store is. */
-  public interface Store {
+  public interface StoreView {
     /**
      * Returns the moment up to which the store's assignment map and terminal states are known here.
      */
@@ -107,7 +107,7 @@
   private final EventLoop loop;
   private final Settings settings;
   private final Peers peers;
-  private final Store store;
+  private final StoreView storeView;
   private final Supplier<String> incarnationId;
   private final Map<String, PeerLog> peerLogs = new LinkedHashMap<>();
 
@@ -127,11 +127,15 @@
    * @param incarnationId returns this controller's incarnation id, or "" before the first
    */
   public Cancellations(
-      EventLoop loop, Settings settings, Peers peers, Store store, Supplier<String> incarnationId) {
+      EventLoop loop,
+      Settings settings,
+      Peers peers,
+      StoreView storeView,
+      Supplier<String> incarnationId) {
     this.loop = loop;
     this.settings = settings;
     this.peers = peers;
-    this.store = store;
+    this.storeView = storeView;
     this.incarnationId = incarnationId;
     this.createdAt = MonotonicTime.ofNanos(loop.nanos());
     settings.others().forEach(other -> peerLogs.put(other.label(), new PeerLog()));
@@ -146,9 +150,9 @@
   /**
    * Returns whether the lease of a worker may be renewed now.
    *
-   * @param jobsKnown whether the jobs of all its tasks were looked up
+   * @param jobsConfirmedOpen whether the job of each task on its machine is confirmed as open
    */
-  public boolean mayRenew(boolean jobsKnown) {
+  public boolean mayRenewWorkerLease(boolean jobsConfirmedOpen) {
     Settings.Facts facts = settings.facts();
     long now = loop.nanos();
     double graceS =
@@ -158,10 +162,11 @@
     if (!knowsCancellationsOlderThan(nanos(graceS), now)) {
       return false;
     }
-    // A task whose job was not looked up may be of a job that was cancelled before this controller
+    // A task whose job is not confirmed may be of a job that was cancelled before this controller
     // started. The other controllers applied the same bound, so such a task ends within cancel_s.
     double boundS = facts.cancelS() * (1 + TimeConstants.CLOCK_DRIFT) + TimeConstants.KILL_MARGIN_S;
-    return jobsKnown || store.terminalStatesCompleteSince().isOlderThan(nanos(boundS), now);
+    return jobsConfirmedOpen
+        || storeView.terminalStatesCompleteSince().isOlderThan(nanos(boundS), now);
   }
 
   /**
@@ -169,7 +174,7 @@
    * known here.
    */
   private boolean knowsCancellationsOlderThan(long graceNanos, long now) {
-    MonotonicTime storeFreshAt = store.freshAt();
+    MonotonicTime storeFreshAt = storeView.freshAt();
     if (storeFreshAt.isYoungerThan(graceNanos, now)) {
       return true;
     }
@@ -233,7 +238,7 @@
             ? List.of()
             : confirmedJobs.stream().skip(since - discardedCount).toList();
     return new CancellationsResponse(
-        request.sentAt, ownIncarnation, since, confirmedCount, jobs, store.machinesRevision());
+        request.sentAt, ownIncarnation, since, confirmedCount, jobs, storeView.machinesRevision());
   }
 
   /** Handles another controller's response and passes its cancellations to the listener. */
@@ -244,10 +249,10 @@
     }
     response.jobs.forEach(listener::cancelled);
     if (peerLog.hasGapBefore(response)) {
-      peerLog.restart(response, MonotonicTime.ofNanos(loop.nanos()), store.freshAt());
+      peerLog.restart(response, MonotonicTime.ofNanos(loop.nanos()), storeView.freshAt());
     }
     peerLog.receivedUpTo = Math.max(peerLog.receivedUpTo, response.upTo);
-    if (store.machinesRevision() >= response.machinesRevision) {
+    if (storeView.machinesRevision() >= response.machinesRevision) {
       peerLog.coveredUntil =
           MonotonicTime.later(peerLog.coveredUntil, MonotonicTime.ofNanos(response.sentAt));
     }
--- a/src/main/java/org/sandford/cluster/Cluster.java
+++ b/src/main/java/org/sandford/cluster/Cluster.java
@@ -26,7 +26,7 @@
  * copy of the assignment map, and the leader's changes to the map. It wires the classes of the
  * package together and dispatches the store's changes to them. Runs on the event loop.
  */
-public final class Cluster implements Cancellations.Store {
+public final class Cluster implements Cancellations.StoreView {
   /**
    * The key whose revision every record write has as a condition: it changes with the teams'
    * owners.
@@ -127,7 +127,7 @@
    * callback of the event loop returns.
    */
   public boolean sessionLeaseValid() {
-    return membership.leaseValid();
+    return membership.isLeaseValid();
   }
 
   /** Returns whether this controller is the leader and its session lease is valid. */
@@ -232,7 +232,7 @@
   }
 
   /** Returns the machines that are provisioned and not yet in the assignment map. */
-  public Collection<NewMachine> machinesBeingAdded() {
+  public Collection<NewMachine> machinesNotInMap() {
     return pending.additionsNotInMap();
   }
 
--- a/src/main/java/org/sandford/cluster/LeaderElection.java
+++ b/src/main/java/org/sandford/cluster/LeaderElection.java
@@ -60,7 +60,7 @@
 
   /** Returns whether this controller is the leader and its session lease is valid. */
   boolean isLeader() {
-    return membership.leaseValid()
+    return membership.isLeaseValid()
         && leader.isPresent()
         && membership.isOwnIncarnation(leader.get().incarnationId);
   }
@@ -111,7 +111,7 @@
    * Tries to become leader if there is no leader or it is a former incarnation of this controller.
    */
   void campaign() {
-    if (campaigning || !membership.leaseValid() || !leaderKeyRead.getAsBoolean()) {
+    if (campaigning || !membership.isLeaseValid() || !leaderKeyRead.getAsBoolean()) {
       return;
     }
     if (leader.isPresent() && !isOwnFormerIncarnation(leader.get())) {
--- a/src/main/java/org/sandford/cluster/SessionMembership.java
+++ b/src/main/java/org/sandford/cluster/SessionMembership.java
@@ -27,7 +27,7 @@
  * store, acquires a session lease, writes the membership key with it, and renews the lease. When
  * any of these is lost, it begins again with a new incarnation.
  *
- * <p>While {@link #leaseValid()}, no other controller can have taken over what this one owns: the
+ * <p>While {@link #isLeaseValid()}, no other controller can have taken over what this one owns: the
  * store removes the membership key only when the lease expires, and the lease's term is counted
  * here from before its request was sent. Runs on the event loop.
  */
@@ -126,11 +126,11 @@
    * Returns whether this controller may act as owner or leader; holds until the current callback of
    * the event loop returns.
    */
-  boolean leaseValid() {
+  boolean isLeaseValid() {
     return state == State.MEMBER && loop.nanos() < leaseExpiresAt;
   }
 
-  /** Returns the session lease's id in the store; only while {@link #leaseValid()}. */
+  /** Returns the session lease's id in the store; only while {@link #isLeaseValid()}. */
   long leaseId() {
     return leaseId;
   }
@@ -284,13 +284,13 @@
       return;
     }
     if (renewal instanceof LeaseRenewal.Renewed) {
-      boolean wasValid = leaseValid();
+      boolean wasValid = isLeaseValid();
       leaseExpiresAt = Math.max(leaseExpiresAt, leaseExpiry(sentAt));
       if (!wasValid) {
         log.info("session lease valid again incarnation={}", incarnationIdOrEmpty());
         listener.leaseChanged();
       }
-    } else if (renewal instanceof LeaseRenewal.Unconfirmed unconfirmed && !leaseValid()) {
+    } else if (renewal instanceof LeaseRenewal.Unconfirmed unconfirmed && !isLeaseValid()) {
       log.debug("session lease not renewed status={}", unconfirmed.status());
     }
     scheduleRenewal();
--- a/src/main/java/org/sandford/constants/GangConstants.java
+++ b/src/main/java/org/sandford/constants/GangConstants.java
@@ -14,7 +14,7 @@
    * Share of {@code gang_wait_s} after which an attempt that does not run yet is stopped: its tasks
    * would soon exit one by one and occupy their machines until then.
    */
-  public static final double GANG_START_SHARE = 0.8;
+  public static final double GANG_START_TIMEOUT_SHARE = 0.8;
 
   /**
    * Seconds beyond the grace that an orderly stop of a gang may take; then its tasks are stopped
@@ -41,11 +41,11 @@
    * Seconds after its start for which a gang counts as new; longer-running gangs are preempted
    * first.
    */
-  public static final double GANG_SETTLED_S = 30.0;
+  public static final double RECENT_GANG_START_S = 30.0;
 
   /**
    * Milliseconds between reserving resources for a gang and starting it: by then the other
    * controllers have seen the reservations and start nothing there.
    */
-  public static final int GANG_RESERVE_MS = 180;
+  public static final int GANG_START_DELAY_MS = 180;
 }
--- a/src/main/java/org/sandford/job/Gangs.java
+++ b/src/main/java/org/sandford/job/Gangs.java
@@ -122,7 +122,7 @@
       transitionTo(job, Phase.RENDEZVOUS, "all starts accepted");
     }
     if (job.gang.isStarting()
-        && secondsInPhase(job) > facts.gangWaitS() * GangConstants.GANG_START_SHARE) {
+        && secondsInPhase(job) > facts.gangWaitS() * GangConstants.GANG_START_TIMEOUT_SHARE) {
       endAttempt(job, "start timed out");
     }
   }
--- a/src/main/java/org/sandford/job/PreemptibleTasks.java
+++ b/src/main/java/org/sandford/job/PreemptibleTasks.java
@@ -86,7 +86,7 @@
       return;
     }
     // Snapshots are sent only on changes, so the time since the snapshot is added to the age.
-    double ageS = task.ageS + (nowNanos - received.at()) / TimeConstants.NANOS_PER_S;
+    double ageS = task.ageS + (nowNanos - received.receivedAt()) / TimeConstants.NANOS_PER_S;
     activeTasks.add(
         new Victim(
             received.snapshot().machine,
@@ -109,8 +109,8 @@
   private static double gangLossCpuS(List<Victim> gang) {
     double cpus = gang.stream().mapToDouble(Victim::cpus).sum();
     double cpuSeconds = gang.stream().mapToDouble(Victim::lossCpuS).sum();
-    boolean justStarted = cpuSeconds < cpus * GangConstants.GANG_SETTLED_S;
-    return cpus * GangConstants.GANG_SETTLED_S * (justStarted ? 2 : 1);
+    boolean justStarted = cpuSeconds < cpus * GangConstants.RECENT_GANG_START_S;
+    return cpus * GangConstants.RECENT_GANG_START_S * (justStarted ? 2 : 1);
   }
 
   /** Returns the tasks that stop together with this one. */
--- a/src/main/java/org/sandford/job/Preemptor.java
+++ b/src/main/java/org/sandford/job/Preemptor.java
@@ -157,7 +157,7 @@
     releaseReservation(team, gang);
     long nowMs = loop.millis();
     gang.reservation.begin(nowMs);
-    gang.retry.delayUntil(nowMs + GangConstants.GANG_RESERVE_MS);
+    gang.retry.delayUntil(nowMs + GangConstants.GANG_START_DELAY_MS);
     for (Planner.Allocation allocation : plan.allocations()) {
       gang.reservation.add(allocation.candidate().machine, allocation.candidate().ownerLabel);
       requestReservation(team, gang, allocation);
--- a/src/main/java/org/sandford/machine/CommandChannel.java
+++ b/src/main/java/org/sandford/machine/CommandChannel.java
@@ -7,7 +7,7 @@
  * at a time; probes run beside them. Runs on the event loop.
  */
 final class CommandChannel {
-  private final LastTime lastReconcileAttempt = new LastTime();
+  private final LastOccurrence lastReconcileAttempt = new LastOccurrence();
   private boolean busy;
   private boolean probing;
   private int consecutiveFailures;
--- a/src/main/java/org/sandford/machine/HeartbeatHandler.java
+++ b/src/main/java/org/sandford/machine/HeartbeatHandler.java
@@ -66,7 +66,7 @@
     if (machine.isSuperseded()) {
       return misdirected(heartbeat, assignment);
     }
-    if (!cancellations.mayRenew(machine.tasks().allJobsConfirmedOpen())) {
+    if (!cancellations.mayRenewWorkerLease(machine.tasks().allJobsConfirmedOpen())) {
       return ApiResponse.later(503, "this controller may not renew leases now", 1);
     }
     return renew(machine);
--- a/src/main/java/org/sandford/machine/LastTime.java
+++ b/src/main/java/org/sandford/machine/LastOccurrence.java
@@ -4,7 +4,7 @@
  * Holds the steady-clock time of an event's last occurrence, if there was any. Runs on the event
  * loop.
  */
-final class LastTime {
+final class LastOccurrence {
   private boolean happened;
   private long atNanos;
 
@@ -15,7 +15,7 @@
   }
 
   /** Copies the time that another instance has recorded. */
-  void copyFrom(LastTime other) {
+  void copyFrom(LastOccurrence other) {
     happened = other.happened;
     atNanos = other.atNanos;
   }
--- a/src/main/java/org/sandford/machine/Machine.java
+++ b/src/main/java/org/sandford/machine/Machine.java
@@ -32,7 +32,7 @@
   private final Reservations reservations = new Reservations();
 
   /** When {@link #invalidateRepeatableStarts} last raised the token. */
-  private final LastTime startsInvalidated = new LastTime();
+  private final LastOccurrence startsInvalidated = new LastOccurrence();
 
   private MachineState state;
   private long agentEpoch;
--- a/src/main/java/org/sandford/machine/MachineSnapshots.java
+++ b/src/main/java/org/sandford/machine/MachineSnapshots.java
@@ -20,9 +20,9 @@
    *
    * @param owner label of the controller that published it
    * @param snapshot the published snapshot
-   * @param at steady-clock time of receipt in nanoseconds
+   * @param receivedAt steady-clock time of receipt in nanoseconds
    */
-  public record ReceivedSnapshot(String owner, MachineSnapshot snapshot, long at) {}
+  public record ReceivedSnapshot(String owner, MachineSnapshot snapshot, long receivedAt) {}
 
   private final EventLoop loop;
   private final Cluster cluster;
--- a/src/main/java/org/sandford/machine/TaskEntry.java
+++ b/src/main/java/org/sandford/machine/TaskEntry.java
@@ -12,7 +12,7 @@
  * acknowledgement of its exit. Runs on the event loop.
  */
 final class TaskEntry {
-  private final TaskAttempt id;
+  private final TaskAttemptId id;
   private StartState startState;
   private TaskState state = TaskState.STARTING;
   private ExitCause cause = ExitCause.NONE;
@@ -45,14 +45,14 @@
   private long stopSentAt;
   private boolean exitAcknowledged;
 
-  private TaskEntry(TaskAttempt id, StartState startState, long now) {
+  private TaskEntry(TaskAttemptId id, StartState startState, long now) {
     this.id = id;
     this.startState = startState;
     this.startedAt = now;
   }
 
   /** Creates the entry of an attempt whose start was accepted here and is not sent yet. */
-  static TaskEntry queued(TaskAttempt id, StartTask request, long now) {
+  static TaskEntry queued(TaskAttemptId id, StartTask request, long now) {
     TaskEntry entry = new TaskEntry(id, StartState.QUEUED, now);
     entry.jobConfirmedOpen = true;
     entry.setAttributes(
@@ -61,11 +61,11 @@
   }
 
   /** Creates the entry of an attempt that is first known from the worker's report. */
-  static TaskEntry reported(TaskAttempt id, long now) {
+  static TaskEntry reported(TaskAttemptId id, long now) {
     return new TaskEntry(id, StartState.CONFIRMED, now);
   }
 
-  TaskAttempt id() {
+  TaskAttemptId id() {
     return id;
   }
 
--- a/src/main/java/org/sandford/machine/TaskTable.java
+++ b/src/main/java/org/sandford/machine/TaskTable.java
@@ -21,10 +21,10 @@
 final class TaskTable {
   private final KnownImages images;
   private final QuarantineTracker quarantine;
-  private final Map<TaskAttempt, TaskEntry> entries = new LinkedHashMap<>();
+  private final Map<TaskAttemptId, TaskEntry> entries = new LinkedHashMap<>();
 
   /** The tasks of the former owner's last snapshot; their jobs may have ended since. */
-  private final Map<TaskAttempt, TaskSnapshot> formerSnapshots = new HashMap<>();
+  private final Map<TaskAttemptId, TaskSnapshot> formerSnapshots = new HashMap<>();
 
   TaskTable(KnownImages images, QuarantineTracker quarantine) {
     this.images = images;
@@ -38,7 +38,7 @@
 
   /** Returns the entry of the attempt, or null if there is none. */
   TaskEntry get(TaskId task, long attempt) {
-    return entries.get(new TaskAttempt(task, attempt));
+    return entries.get(new TaskAttemptId(task, attempt));
   }
 
   /** Returns whether any attempt at the task uses, or may use, resources of the machine. */
@@ -57,7 +57,7 @@
 
   /** Adds an accepted start, which is sent with the next commands. */
   void add(StartTask request, long now) {
-    TaskAttempt id = new TaskAttempt(new TaskId(request.job, request.task), request.attempt);
+    TaskAttemptId id = new TaskAttemptId(new TaskId(request.job, request.task), request.attempt);
     entries.put(id, TaskEntry.queued(id, request, now));
   }
 
@@ -72,7 +72,7 @@
   /** Keeps the former owner's snapshot of a task, if it has the task's attributes. */
   void addFormerSnapshot(TaskSnapshot task) {
     if (!task.team.isEmpty()) {
-      formerSnapshots.put(new TaskAttempt(new TaskId(task.job, task.task), task.attempt), task);
+      formerSnapshots.put(new TaskAttemptId(new TaskId(task.job, task.task), task.attempt), task);
     }
   }
 
@@ -93,9 +93,9 @@
   /** Applies the tasks of a worker's message. Returns false if no task's snapshot changes. */
   boolean apply(Heartbeat heartbeat, WorkerChannel channel, boolean newEpoch, long now) {
     boolean changed = false;
-    Set<TaskAttempt> reported = new HashSet<>();
+    Set<TaskAttemptId> reported = new HashSet<>();
     for (Heartbeat.ReportedTask report : heartbeat.tasks()) {
-      TaskAttempt id = new TaskAttempt(report.task(), report.attempt());
+      TaskAttemptId id = new TaskAttemptId(report.task(), report.attempt());
       reported.add(id);
       changed |= apply(id, report, now);
     }
@@ -110,7 +110,7 @@
     return changed;
   }
 
-  private boolean apply(TaskAttempt id, Heartbeat.ReportedTask report, long now) {
+  private boolean apply(TaskAttemptId id, Heartbeat.ReportedTask report, long now) {
     TaskEntry entry = entries.get(id);
     boolean added = entry == null;
     if (added) {
--- a/src/main/java/org/sandford/machine/WorkerCommands.java
+++ b/src/main/java/org/sandford/machine/WorkerCommands.java
@@ -12,23 +12,23 @@
 final class WorkerCommands {
   private WorkerCommands() {}
 
-  static ObjectNode start(TaskAttempt id) {
+  static ObjectNode start(TaskAttemptId id) {
     return command("start", id);
   }
 
   /**
    * Builds the command that stops a task and gives it the grace period, in seconds, to checkpoint.
    */
-  static ObjectNode stop(TaskAttempt id, int graceS) {
+  static ObjectNode stop(TaskAttemptId id, int graceS) {
     return command("stop", id).put("wind_down_s", graceS);
   }
 
   /** Builds the command that lets the worker forget an attempt that has exited. */
-  static ObjectNode acknowledgeExit(TaskAttempt id) {
+  static ObjectNode acknowledgeExit(TaskAttemptId id) {
     return command("clear", id);
   }
 
-  private static ObjectNode command(String verb, TaskAttempt id) {
+  private static ObjectNode command(String verb, TaskAttemptId id) {
     return Json.object()
         .put("verb", verb)
         .put("piece", id.task().toString())
--- a/src/main/java/org/sandford/machine/WorkerLease.java
+++ b/src/main/java/org/sandford/machine/WorkerLease.java
@@ -13,10 +13,10 @@
   private long lastHeartbeatAt;
 
   /** When this controller last answered a heartbeat, which renews the lease. */
-  private final LastTime lastRenewal = new LastTime();
+  private final LastOccurrence lastRenewal = new LastOccurrence();
 
   /** When a message first showed that the worker has seen a token of this generation. */
-  private final LastTime generationFirstSeen = new LastTime();
+  private final LastOccurrence generationFirstSeen = new LastOccurrence();
 
   private boolean expired;
 
--- a/src/main/java/org/sandford/scaling/ScaleOut.java
+++ b/src/main/java/org/sandford/scaling/ScaleOut.java
@@ -57,7 +57,7 @@
   Map<InstancePool, Integer> plan(ClusterDemand demand, long now) {
     int machines =
         cluster.machines().of().size()
-            + cluster.machinesBeingAdded().size()
+            + cluster.machinesNotInMap().size()
             + requests.pendingMachines();
     ScaleOutPlanner.Market market =
         new ScaleOutPlanner.Market(
@@ -81,7 +81,7 @@
     for (Map.Entry<String, MachineAssignment> entry : cluster.machines().of().entrySet()) {
       addIfUsable(candidates, entry.getKey(), entry.getValue());
     }
-    for (Cluster.NewMachine added : cluster.machinesBeingAdded()) {
+    for (Cluster.NewMachine added : cluster.machinesNotInMap()) {
       if (catalog.get(added.kind()) != null) {
         candidates.add(catalog.candidate(added.name(), added.kind(), added.zone(), added.spot()));
       }
--- a/src/test/java/org/sandford/cancel/CancellationsTest.java
+++ b/src/test/java/org/sandford/cancel/CancellationsTest.java
@@ -42,7 +42,7 @@
   private Cancellations controller() {
     Cancellations cancellations =
         new Cancellations(
-            clock, settings(), new RecordingPeers(), new StoreStub(), () -> incarnationId);
+            clock, settings(), new RecordingPeers(), new StoreViewStub(), () -> incarnationId);
     cancellations.start(notified::add);
     return cancellations;
   }
@@ -59,7 +59,7 @@
     }
   }
 
-  private final class StoreStub implements Cancellations.Store {
+  private final class StoreViewStub implements Cancellations.StoreView {
     @Override
     public MonotonicTime freshAt() {
       return storeFreshAt;
@@ -98,9 +98,9 @@
   void noRenewalBeforeTheStoreWasRead() {
     Cancellations c = controller();
     allPeersRespond(c);
-    assertFalse(c.mayRenew(true));
+    assertFalse(c.mayRenewWorkerLease(true));
     readStore();
-    assertTrue(c.mayRenew(true));
+    assertTrue(c.mayRenewWorkerLease(true));
   }
 
   @Test
@@ -108,10 +108,10 @@
     Cancellations c = controller();
     readStore();
     clock.pass(LAST_RENEWAL_S - 2);
-    assertTrue(c.mayRenew(true));
+    assertTrue(c.mayRenewWorkerLease(true));
     clock.pass(1.5);
     assertFalse(
-        c.mayRenew(true),
+        c.mayRenewWorkerLease(true),
         "half a second is too little for clock drift, late timers and slow kills");
   }
 
@@ -124,13 +124,13 @@
       clock.pass(1);
       allPeersRespond(c);
     }
-    assertTrue(c.mayRenew(true));
+    assertTrue(c.mayRenewWorkerLease(true));
     // The one peer that does not respond may have confirmed cancellations.
     for (int i = 0; i < (int) LAST_RENEWAL_S; i++) {
       clock.pass(1);
       c.handleResponse("c1", responseOf("c1#1", 0, 0));
     }
-    assertFalse(c.mayRenew(true));
+    assertFalse(c.mayRenewWorkerLease(true));
   }
 
   @Test
@@ -143,7 +143,7 @@
     clock.pass(LAST_RENEWAL_S);
     c.handleResponse("c1", late);
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
-    assertFalse(c.mayRenew(true));
+    assertFalse(c.mayRenewWorkerLease(true));
   }
 
   @Test
@@ -157,11 +157,11 @@
     c.handleResponse("c1", newer);
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
     assertFalse(
-        c.mayRenew(true),
+        c.mayRenewWorkerLease(true),
         "another controller may own the machines by now and rely on their leases to expire");
     machinesRevision++;
     c.handleResponse("c1", newer);
-    assertTrue(c.mayRenew(true));
+    assertTrue(c.mayRenewWorkerLease(true));
   }
 
   @Test
@@ -172,13 +172,13 @@
     clock.pass(LAST_RENEWAL_S);
     c.handleResponse("c1", responseOf("c1#2", 0, 0));
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
-    assertFalse(c.mayRenew(true), "the last confirmations of c1#1 may be missing");
+    assertFalse(c.mayRenewWorkerLease(true), "the last confirmations of c1#1 may be missing");
     clock.pass(0.1);
     readStore();
     clock.pass(LAST_RENEWAL_S);
     c.handleResponse("c1", responseOf("c1#2", 0, 0));
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
-    assertTrue(c.mayRenew(true), "the store was read since");
+    assertTrue(c.mayRenewWorkerLease(true), "the store was read since");
   }
 
   @Test
@@ -189,7 +189,7 @@
     clock.pass(LAST_RENEWAL_S);
     c.handleResponse("c1", responseOf("c1#1", 7, 9, "wk-8", "wk-9"));
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
-    assertFalse(c.mayRenew(true));
+    assertFalse(c.mayRenewWorkerLease(true));
     assertEquals(List.of("wk-8", "wk-9"), notified);
   }
 
@@ -197,14 +197,16 @@
   void unknownJobsMayHaveBeenCancelledLongAgo() {
     Cancellations c = controller();
     readStore();
-    assertFalse(c.mayRenew(false));
-    assertTrue(c.mayRenew(true));
+    assertFalse(c.mayRenewWorkerLease(false));
+    assertTrue(c.mayRenewWorkerLease(true));
     clock.pass(CANCEL_S);
     readStore();
-    assertFalse(c.mayRenew(false));
+    assertFalse(c.mayRenewWorkerLease(false));
     clock.pass(3);
     readStore();
-    assertTrue(c.mayRenew(false), "by now the tasks of jobs cancelled before the start have ended");
+    assertTrue(
+        c.mayRenewWorkerLease(false),
+        "by now the tasks of jobs cancelled before the start have ended");
   }
 
   @Test
--- a/src/test/java/org/sandford/cluster/SessionMembershipTest.java
+++ b/src/test/java/org/sandford/cluster/SessionMembershipTest.java
@@ -78,7 +78,7 @@
             + "\"writes\":[{\"put\":\"c/ctl/c0\",\"v\":{\"id\":\"c0#4\"},\"permit\":7}]}",
         sent.get(3).body);
     assertEquals(List.of("c0#4"), joined);
-    assertTrue(membership.leaseValid());
+    assertTrue(membership.isLeaseValid());
     assertTrue(membership.isOwnIncarnation("c0#4"));
   }
 
@@ -90,9 +90,9 @@
     loop.pass(2);
     reply(2, 200, "{\"permit\":7}");
     reply(3, 200, "{\"epoch\":31}");
-    assertTrue(membership.leaseValid());
+    assertTrue(membership.isLeaseValid());
     loop.pass(0.8);
-    assertFalse(membership.leaseValid(), "the lease of 3 s less drift and margin has expired");
+    assertFalse(membership.isLeaseValid(), "the lease of 3 s less drift and margin has expired");
   }
 
   @Test
@@ -111,9 +111,9 @@
     replyUntilJoined(0);
     membership.memberKeyChanged(new Entry("c/ctl/c0", IncarnationIds.toJson("c0#3"), 25));
     membership.memberKeyChanged(new Entry("c/ctl/c0", IncarnationIds.toJson("c0#4"), 31));
-    assertTrue(membership.leaseValid(), "changes up to its own write are ignored");
+    assertTrue(membership.isLeaseValid(), "changes up to its own write are ignored");
     membership.memberKeyChanged(new KeyChange.Removal("c/ctl/c0", 32));
-    assertFalse(membership.leaseValid());
+    assertFalse(membership.isLeaseValid());
     assertEquals("/store/inc/c0", sent.get(4).path);
   }
 }
