--- a/src/main/java/org/sandford/job/Gangs.java
+++ b/src/main/java/org/sandford/job/Gangs.java
@@ -114,7 +114,7 @@
       endAttempt(job, "task lost");
       return;
     }
-    if (job.running() == job.spec.tasks()) {
+    if (job.runningCount() == job.spec.tasks()) {
       transitionTo(job, Phase.RUNNING, "all tasks run");
       return;
     }
@@ -122,7 +122,7 @@
       transitionTo(job, Phase.RENDEZVOUS, "all starts accepted");
     }
     if (job.gang.isStarting()
-        && secondsInPhase(job) > facts.gangWaitS() * GangConstants.GANG_START_SHARE) {
+        && secondsInPhase(job) > facts.gangWaitS() * GangConstants.GANG_START_TIMEOUT_SHARE) {
       endAttempt(job, "start timed out");
     }
   }
--- a/src/main/java/org/sandford/job/PreemptibleTasks.java
+++ b/src/main/java/org/sandford/job/PreemptibleTasks.java
@@ -73,7 +73,7 @@
         victim -> {
           List<Victim> gang =
               sharedAttempts.contains(victim.attempt()) ? gangTasks.get(gangKey(victim)) : null;
-          return gang == null ? victim : victim.inGang(gangKey(victim), gangLossCpuS(gang));
+          return gang == null ? victim : victim.asPartOfGang(gangKey(victim), gangLossCpuS(gang));
         });
   }
 
@@ -86,7 +86,7 @@
       return;
     }
     // Snapshots are sent only on changes, so the time since the snapshot is added to the age.
-    double ageS = task.ageS + (nowNanos - received.at()) / TimeConstants.NANOS_PER_S;
+    double ageS = task.ageS + (nowNanos - received.receivedAt()) / TimeConstants.NANOS_PER_S;
     activeTasks.add(
         new Victim(
             received.snapshot().machine,
@@ -109,8 +109,8 @@
   private static double gangLossCpuS(List<Victim> gang) {
     double cpus = gang.stream().mapToDouble(Victim::cpus).sum();
     double cpuSeconds = gang.stream().mapToDouble(Victim::lossCpuS).sum();
-    boolean justStarted = cpuSeconds < cpus * GangConstants.GANG_SETTLED_S;
-    return cpus * GangConstants.GANG_SETTLED_S * (justStarted ? 2 : 1);
+    boolean justStarted = cpuSeconds < cpus * GangConstants.RECENT_GANG_START_S;
+    return cpus * GangConstants.RECENT_GANG_START_S * (justStarted ? 2 : 1);
   }
 
   /** Returns the tasks that stop together with this one. */
@@ -119,10 +119,10 @@
   }
 
   /** Returns the tasks that may be preempted for the job and for which no preemption is pending. */
-  List<Victim> victimsFor(Team team, Job job, Predicate<Attempt> preemptionRequested) {
+  List<Victim> victimsFor(Team team, Job job, Predicate<AttemptId> preemptionRequested) {
     PreemptingJob preemptingJob = new PreemptingJob(team, job);
     return activeTasks.stream()
-        .filter(victim -> !preemptionRequested.test(attemptOf(victim)))
+        .filter(victim -> !preemptionRequested.test(attemptIdOf(victim)))
         .filter(preemptingJob::mayPreempt)
         .toList();
   }
@@ -191,8 +191,8 @@
     return byMachine;
   }
 
-  static Attempt attemptOf(Victim victim) {
-    return new Attempt(victim.job(), victim.task(), victim.attempt());
+  static AttemptId attemptIdOf(Victim victim) {
+    return new AttemptId(victim.job(), victim.task(), victim.attempt());
   }
 
   /** Returns whether the team's guarantee covers the job and the team's earlier unfinished jobs. */
@@ -201,7 +201,7 @@
     double gpus = 0;
     for (Job other : team.jobs.values()) {
       boolean earlier = other == job || other.acceptedAt < job.acceptedAt;
-      if (earlier && !other.phase().over()) {
+      if (earlier && !other.phase().isTerminal()) {
         int unfinished = other.tasks.unfinishedCount();
         cpus += unfinished * other.spec.cpus();
         gpus += unfinished * other.spec.gpus();
