--- a/src/test/java/org/sandford/scenario/AnswerHistory.java
+++ b/src/test/java/org/sandford/scenario/AnswerHistory.java
@@ -33,28 +33,28 @@
   /**
    * One answer.
    *
-   * @param node the controller that was asked
+   * @param controller the controller that was asked
    * @param askedAt simulated nanoseconds at which the question left
    * @param answeredAt simulated nanoseconds at which the answer arrived
    * @param status the status in the answer; empty for a 404
    */
-  record RecordedAnswer(String node, long askedAt, long answeredAt, String status) {
+  record RecordedAnswer(String controller, long askedAt, long answeredAt, String status) {
     Stage stage() {
       return Stage.of(status);
     }
 
-    private String text() {
+    private String describe() {
       return String.format(
           Locale.ROOT,
           "%s at %s (asked %.3f ms before)",
           status.isEmpty() ? "unknown" : status,
-          node,
+          controller,
           (answeredAt - askedAt) / 1e6);
     }
   }
 
   private final Map<String, List<RecordedAnswer>> answers = new HashMap<>();
-  private final Set<String> contradicted = new HashSet<>();
+  private final Set<String> jobsWithContradiction = new HashSet<>();
 
   /**
    * Adds an answer; answers come in the order of their arrival, so each is compared with all that
@@ -63,18 +63,18 @@
    * @return what the answer contradicts, or an empty text
    */
   String add(String job, RecordedAnswer answer) {
-    List<RecordedAnswer> before = answers.computeIfAbsent(job, j -> new ArrayList<>());
+    List<RecordedAnswer> earlierAnswers = answers.computeIfAbsent(job, j -> new ArrayList<>());
     String contradiction = "";
-    for (RecordedAnswer earlier : before) {
+    for (RecordedAnswer earlier : earlierAnswers) {
       if (earlier.answeredAt < answer.askedAt && earlier.stage().compareTo(answer.stage()) > 0) {
-        contradiction = job + " was " + earlier.text() + ", then " + answer.text();
+        contradiction = job + " was " + earlier.describe() + ", then " + answer.describe();
         break;
       }
     }
     // One answer of each stage, the first to arrive, decides all later comparisons.
-    if (before.stream().noneMatch(earlier -> earlier.stage() == answer.stage())) {
-      before.add(answer);
+    if (earlierAnswers.stream().noneMatch(earlier -> earlier.stage() == answer.stage())) {
+      earlierAnswers.add(answer);
     }
-    return !contradiction.isEmpty() && contradicted.add(job) ? contradiction : "";
+    return !contradiction.isEmpty() && jobsWithContradiction.add(job) ? contradiction : "";
   }
 }
--- a/src/test/java/org/sandford/scenario/AnswerHistoryTest.java
+++ b/src/test/java/org/sandford/scenario/AnswerHistoryTest.java
@@ -10,12 +10,12 @@
 class AnswerHistoryTest {
   private final AnswerHistory history = new AnswerHistory();
 
-  private String add(String node, long askedAt, long answeredAt, String status) {
-    return history.add("wk-1", new RecordedAnswer(node, askedAt, answeredAt, status));
+  private String add(String controller, long askedAt, long answeredAt, String status) {
+    return history.add("wk-1", new RecordedAnswer(controller, askedAt, answeredAt, status));
   }
 
   @Test
-  void aLifeThatGoesForwardIsInOrder() {
+  void forwardTransitionsAreInOrder() {
     assertEquals("", add("c0", 1, 2, ""));
     assertEquals("", add("c1", 3, 4, "queued"));
     assertEquals("", add("c2", 5, 6, "running"));
@@ -25,13 +25,13 @@
   }
 
   @Test
-  void overlappingQuestionsMayBeAnsweredInEitherOrder() {
+  void overlappingRequestsMayBeAnsweredInEitherOrder() {
     assertEquals("", add("c0", 1, 5, "done"));
     assertEquals("", add("c1", 4, 9, "running"));
   }
 
   @Test
-  void anOlderAnswerAtAnotherControllerIsFound() {
+  void anEarlierStageFromAnotherControllerIsFound() {
     assertEquals("", add("c0", 1, 5, "done"));
     String found = add("c1", 6, 7, "queued");
     assertTrue(found.contains("done at c0") && found.contains("queued at c1"), found);
@@ -44,14 +44,14 @@
   }
 
   @Test
-  void theFirstAnswerOfAStageCountsHoweverManyFollow() {
+  void theFirstAnswerOfAStageIsCompared() {
     assertEquals("", add("c0", 1, 5, "aborted"));
     assertEquals("", add("c1", 90, 95, "aborted"));
     assertTrue(add("c2", 6, 97, "running").contains("aborted at c0"));
   }
 
   @Test
-  void jobsDoNotMeet() {
+  void answersOfOtherJobsAreNotCompared() {
     assertEquals("", add("c0", 1, 5, "done"));
     assertEquals("", history.add("wk-2", new RecordedAnswer("c0", 6, 7, "queued")));
   }
--- a/src/test/java/org/sandford/scenario/FakeCloud.java
+++ b/src/test/java/org/sandford/scenario/FakeCloud.java
@@ -15,24 +15,24 @@
     final String name;
     final String zone;
     final boolean spot;
-    final long since;
+    final long rentedAt;
     FakeWorker worker;
 
-    Rented(String name, String zone, boolean spot, long since) {
+    Rented(String name, String zone, boolean spot, long rentedAt) {
       this.name = name;
       this.zone = zone;
       this.spot = spot;
-      this.since = since;
+      this.rentedAt = rentedAt;
     }
   }
 
   private final Simulation simulation;
   private final Scenario scenario;
   final Map<String, Rented> machines = new LinkedHashMap<>();
-  private final Map<String, ArrayNode> answered = new HashMap<>();
-  private int number;
+  private final Map<String, ArrayNode> hostsByRequest = new HashMap<>();
+  private int rentedCount;
   boolean outage;
-  boolean neverBoot;
+  boolean bootsDisabled;
 
   FakeCloud(Simulation simulation, Scenario scenario) {
     this.simulation = simulation;
@@ -40,25 +40,26 @@
   }
 
   Rented rent(String zone, boolean spot, double bootS) {
-    Rented machine = new Rented(String.format("n-%06d", number++), zone, spot, simulation.now());
+    Rented machine =
+        new Rented(String.format("n-%06d", rentedCount++), zone, spot, simulation.now());
     machines.put(machine.name, machine);
-    if (!neverBoot) {
+    if (!bootsDisabled) {
       simulation.after(
           (long) (bootS * 1000),
           () -> {
             if (machines.containsKey(machine.name)) {
-              machine.worker = scenario.boot(machine);
+              machine.worker = scenario.bootWorker(machine);
             }
           });
     }
     return machine;
   }
 
-  int rented() {
-    return number;
+  int rentedCount() {
+    return rentedCount;
   }
 
-  void take(String name) {
+  void removeMachine(String name) {
     Rented machine = machines.remove(name);
     if (machine != null && machine.worker != null) {
       machine.worker.destroy();
@@ -72,7 +73,7 @@
       respond.accept(new Response(503, Json.object().put("error", "trouble")));
       return;
     }
-    JsonNode asked = Json.read(body);
+    JsonNode request = Json.read(body);
     if (path.equals("/flavors")) {
       ObjectNode answer = Json.object();
       ObjectNode kind = answer.putArray("machine_kinds").addObject();
@@ -89,44 +90,45 @@
       scenario.zones.forEach(sites::add);
       respond.accept(new Response(200, answer));
     } else if (path.equals("/machines")) {
-      String hire = asked.path("hire").asText();
-      ArrayNode hosts = answered.get(hire);
+      String requestId = request.path("hire").asText();
+      ArrayNode hosts = hostsByRequest.get(requestId);
       if (hosts == null) {
         hosts = Json.array();
-        long inPool =
+        long usedOfPool =
             machines.values().stream()
                 .filter(
                     m ->
-                        m.zone.equals(asked.path("site").asText())
-                            && m.spot == asked.path("reclaimable").asBoolean())
+                        m.zone.equals(request.path("site").asText())
+                            && m.spot == request.path("reclaimable").asBoolean())
                 .count();
         for (int i = 0;
-            i < asked.path("number").asInt() && inPool + i < scenario.script.poolSize;
+            i < request.path("number").asInt() && usedOfPool + i < scenario.script.poolSize;
             i++) {
           hosts.add(
-              rent(asked.path("site").asText(), asked.path("reclaimable").asBoolean(), 10).name);
+              rent(request.path("site").asText(), request.path("reclaimable").asBoolean(), 10)
+                  .name);
         }
         if (hosts.isEmpty()) {
           respond.accept(new Response(503, Json.object().put("error", "no capacity")));
           return;
         }
-        answered.put(hire, hosts);
+        hostsByRequest.put(requestId, hosts);
       }
       ObjectNode answer = Json.object();
       answer.set("hosts", hosts);
       respond.accept(new Response(200, answer));
     } else if (path.equals("/machines/return")) {
-      asked.path("hosts").forEach(host -> take(host.asText()));
+      request.path("hosts").forEach(host -> removeMachine(host.asText()));
       respond.accept(new Response(200, Json.object()));
     } else {
       ObjectNode answer = Json.object().put("more", false);
       ArrayNode hosts = answer.putArray("hosts");
       for (Rented m : machines.values()) {
-        if (simulation.now() - m.since > 5_000 * Simulation.MS) {
+        if (simulation.now() - m.rentedAt > 5_000 * Simulation.MS) {
           ObjectNode host = hosts.addObject().put("name_id", m.name).put("addr", m.name + ":90");
           host.put("machine_kind", "m8").put("site", m.zone).put("reclaimable", m.spot);
           host.put("status", m.worker == null ? "booting" : "running");
-          host.put("held_s", (simulation.now() - m.since) / 1e9);
+          host.put("held_s", (simulation.now() - m.rentedAt) / 1e9);
         }
       }
       respond.accept(new Response(200, answer));
--- a/src/test/java/org/sandford/scenario/FakeGang.java
+++ b/src/test/java/org/sandford/scenario/FakeGang.java
@@ -28,10 +28,10 @@
   /** The tasks on machines, each with its worker. */
   private final Map<Held, FakeWorker> members = new HashMap<>();
 
-  private final List<Held> told = new ArrayList<>();
+  private final List<Held> stopRequested = new ArrayList<>();
   private Phase phase = Phase.GATHERING;
   private long runningSince;
-  private double progressBefore;
+  private double progressAtStart;
 
   FakeGang(Simulation simulation, Scenario scenario, UserJob job) {
     this.simulation = simulation;
@@ -40,12 +40,12 @@
   }
 
   /** The task has its image; the last one starts all. */
-  void gathers(FakeWorker worker, Held task) {
+  void join(FakeWorker worker, Held task) {
     if (phase != Phase.GATHERING) {
       // Its gang has broken up, so it waits for others in vain.
       simulation.after(
           (long) (scenario.script.gangWaitS * 1000),
-          () -> worker.endIf(task, "gathering", "alone"));
+          () -> worker.endIfInStatus(task, "gathering", "alone"));
       return;
     }
     members.put(task, worker);
@@ -53,7 +53,7 @@
         (long) (scenario.script.gangWaitS * 1000),
         () -> {
           if (phase == Phase.GATHERING && members.containsKey(task)) {
-            worker.endIf(task, "gathering", "alone");
+            worker.endIfInStatus(task, "gathering", "alone");
           }
         });
     if (members.size() == job.tasks) {
@@ -64,11 +64,11 @@
   private void run() {
     phase = Phase.RUNNING;
     runningSince = simulation.now();
-    progressBefore = job.savedProgressS;
-    Map.copyOf(members).forEach((task, worker) -> worker.runs(task));
-    scenario.rules.gangRuns(job, members);
-    simulation.after((long) (Math.max(0, job.runS - progressBefore) * 1000), this::finish);
-    watchHangs();
+    progressAtStart = job.savedProgressS;
+    Map.copyOf(members).forEach((task, worker) -> worker.startRunning(task));
+    scenario.rules.checkGangStart(job, members);
+    simulation.after((long) (Math.max(0, job.runS - progressAtStart) * 1000), this::finish);
+    checkForHangs();
   }
 
   private void finish() {
@@ -76,38 +76,38 @@
       return;
     }
     phase = Phase.OVER;
-    members.keySet().forEach(task -> job.finished.add(task.piece));
-    Map.copyOf(members).forEach((task, worker) -> worker.endIf(task, "running", "done"));
-    scenario.lastTaskDone(job);
+    members.keySet().forEach(task -> job.finishedTasks.add(task.piece));
+    Map.copyOf(members).forEach((task, worker) -> worker.endIfInStatus(task, "running", "done"));
+    scenario.onLastTaskDone(job);
   }
 
-  private void watchHangs() {
+  private void checkForHangs() {
     if (phase == Phase.RUNNING) {
-      if (members.values().stream().anyMatch(FakeWorker::hangs)) {
-        breakUp();
+      if (members.values().stream().anyMatch(FakeWorker::isHanging)) {
+        failAttempt();
       } else {
-        simulation.after(500, this::watchHangs);
+        simulation.after(500, this::checkForHangs);
       }
     }
   }
 
   /** The task ended, or is gone with its machine or its lease. */
-  void gone(Held task) {
+  void remove(Held task) {
     if (members.remove(task) == null) {
       return;
     }
     if (phase == Phase.RUNNING || phase == Phase.STOPPING) {
-      breakUp();
+      failAttempt();
     }
   }
 
   /** Progress since the last checkpoint is lost; the other tasks notice within the time for it. */
-  private void breakUp() {
-    double progress = phase == Phase.RUNNING ? progress() : job.stoppedAtProgressS;
+  private void failAttempt() {
+    double progress = phase == Phase.RUNNING ? progress() : job.progressAtStopS;
     if (job.checkpointIntervalS > 0) {
       job.savedProgressS =
           Math.max(
-              progressBefore,
+              progressAtStart,
               Math.floor(progress / job.checkpointIntervalS) * job.checkpointIntervalS);
     }
     phase = Phase.OVER;
@@ -116,51 +116,52 @@
             (task, worker) ->
                 simulation.after(
                     (long) (scenario.script.gangPeerS * (200 + simulation.random.nextInt(800))),
-                    () -> worker.endIf(task, "running", "peers")));
+                    () -> worker.endIfInStatus(task, "running", "peers")));
   }
 
   private double progress() {
-    return progressBefore + (simulation.now() - runningSince) / 1e9;
+    return progressAtStart + (simulation.now() - runningSince) / 1e9;
   }
 
   /**
    * A task is told to stop; true when it goes on until the others are told, false when it ends at
    * once.
    */
-  boolean stops(Held task, double graceS) {
-    boolean inOrder =
+  boolean requestStop(Held task, double graceS) {
+    boolean canSave =
         (phase == Phase.RUNNING || phase == Phase.STOPPING)
             && job.checkpointIntervalS > 0
             && graceS >= SAVE_COST_S;
-    if (!inOrder) {
+    if (!canSave) {
       return false;
     }
     if (phase == Phase.RUNNING) {
-      job.stoppedAtProgressS = progress();
+      job.progressAtStopS = progress();
       phase = Phase.STOPPING;
       simulation.after(
           (long) (scenario.script.gangPeerS * 1000),
           () -> {
-            if (phase == Phase.STOPPING && told.size() < job.tasks) {
-              breakUp();
+            if (phase == Phase.STOPPING && stopRequested.size() < job.tasks) {
+              failAttempt();
             }
           });
     }
-    if (!told.contains(task)) {
-      told.add(task);
-      if (told.size() == job.tasks) {
-        simulation.after((long) (SAVE_COST_S * 1000), this::saved);
+    if (!stopRequested.contains(task)) {
+      stopRequested.add(task);
+      if (stopRequested.size() == job.tasks) {
+        simulation.after((long) (SAVE_COST_S * 1000), this::finishStop);
       }
     }
     return true;
   }
 
-  private void saved() {
+  private void finishStop() {
     if (phase == Phase.STOPPING) {
       phase = Phase.OVER;
-      job.savedProgressS = job.stoppedAtProgressS;
+      job.savedProgressS = job.progressAtStopS;
       job.orderlyStops++;
-      Map.copyOf(members).forEach((task, worker) -> worker.endIf(task, "running", "stopped"));
+      Map.copyOf(members)
+          .forEach((task, worker) -> worker.endIfInStatus(task, "running", "stopped"));
     }
   }
 }
--- a/src/test/java/org/sandford/scenario/FakeStore.java
+++ b/src/test/java/org/sandford/scenario/FakeStore.java
@@ -28,85 +28,85 @@
 
   @SuppressWarnings("ArrayRecordComponent") // The flag is shared by all who hold the watcher.
   private record Watcher(
-      String from, String prefix, long since, Consumer<Response> respond, boolean[] over) {}
+      String from, String prefix, long since, Consumer<Response> respond, boolean[] answered) {}
 
   private final Simulation simulation;
   private final TreeMap<String, Item> items = new TreeMap<>();
   private final Map<Long, Hold> holds = new HashMap<>();
-  private final List<Change> log = new ArrayList<>();
+  private final List<Change> changes = new ArrayList<>();
   private final List<Watcher> watchers = new ArrayList<>();
-  final Set<String> refused = new HashSet<>();
+  final Set<String> refusedHosts = new HashSet<>();
 
   /** Hosts whose changes are too many, as far as the store is concerned. */
-  final Set<String> busy = new HashSet<>();
+  final Set<String> throttledHosts = new HashSet<>();
 
   /** Of a hundred transactions so many get no answer and are carried out 2 to 12 s later. */
-  int lateWrites;
+  int lateWritePercent;
 
   /** Of a hundred transactions so many are carried out at once, and their answers are lost. */
-  int lostAnswers;
+  int lostAnswerPercent;
 
   /**
    * Milliseconds that the answer to a transaction takes at the most; the watches stay quick, so
    * that others learn of a change before the controller that made it.
    */
-  int slowCommitMs;
+  int maxCommitDelayMs;
 
   /** Hosts that hear of changes up to so many milliseconds later than others by their watches. */
-  final Map<String, Integer> slowWatches = new HashMap<>();
+  final Map<String, Integer> watchDelayMsByHost = new HashMap<>();
 
   /** Milliseconds that each answer takes. */
-  int slowMs;
+  int maxAnswerDelayMs;
 
   /** Puts to the assignment map's machines since the start. */
-  long mapWrites;
+  long assignmentMapWrites;
 
   private boolean outage;
   private long epoch;
-  private long lastHold;
+  private long lastHoldId;
   private int valueBytes;
   private int txnOps;
-  private final Set<String> announceNoVersion = new HashSet<>();
+  private final Set<String> unversionedKeys = new HashSet<>();
 
   FakeStore(Simulation simulation, int valueBytes, int txnOps) {
     this.simulation = simulation;
     this.valueBytes = valueBytes;
     this.txnOps = txnOps;
-    expire();
+    expireHolds();
   }
 
   /** From now on these limits hold; what is stored stays readable. */
-  void limits(int bytesOfValue, int changesOfTransaction) {
-    valueBytes = bytesOfValue;
-    txnOps = changesOfTransaction;
+  void setLimits(int newValueBytes, int newTxnOps) {
+    valueBytes = newValueBytes;
+    txnOps = newTxnOps;
   }
 
   /** Whether the controller's incarnations are stored as the production version writes them. */
-  void announcesNoVersion(String label, boolean is) {
-    if (is) {
-      announceNoVersion.add("inc/" + label);
+  void setUnversioned(String label, boolean unversioned) {
+    if (unversioned) {
+      unversionedKeys.add("inc/" + label);
     } else {
-      announceNoVersion.remove("inc/" + label);
+      unversionedKeys.remove("inc/" + label);
     }
   }
 
-  void outage(boolean on) {
+  void setOutage(boolean on) {
     outage = on;
     if (!on) {
       // After an outage every hold has its full time again.
       holds.values().forEach(h -> h.until = simulation.now() + h.ttlMs * Simulation.MS);
-      wake();
+      answerWatchers();
     }
   }
 
-  boolean inTrouble() {
+  boolean hasFault() {
     return outage
-        || !refused.isEmpty()
-        || lateWrites > 0
-        || lostAnswers > 0
-        || slowCommitMs > 0
-        || !slowWatches.isEmpty()
-        || slowMs > 0;
+        || !refusedHosts.isEmpty()
+        || lateWritePercent > 0
+        || lostAnswerPercent > 0
+        || maxCommitDelayMs > 0
+        || !watchDelayMsByHost.isEmpty()
+        || maxAnswerDelayMs > 0;
   }
 
   boolean has(String key) {
@@ -119,18 +119,18 @@
     return item == null ? null : item.value;
   }
 
-  private void expire() {
+  private void expireHolds() {
     if (!outage) {
       for (Map.Entry<Long, Hold> e : new ArrayList<>(holds.entrySet())) {
         if (e.getValue().until < simulation.now()) {
-          end(e.getKey());
+          endHold(e.getKey());
         }
       }
     }
-    simulation.after(20, this::expire);
+    simulation.after(20, this::expireHolds);
   }
 
-  private void end(long hold) {
+  private void endHold(long hold) {
     holds.remove(hold);
     List<String> keys =
         items.entrySet().stream()
@@ -140,7 +140,7 @@
     if (!keys.isEmpty()) {
       epoch++;
       keys.forEach(key -> change(key, null, 0));
-      wake();
+      answerWatchers();
     }
   }
 
@@ -150,33 +150,33 @@
     } else {
       items.put(key, new Item(value, epoch, hold));
     }
-    log.add(new Change(key, value, epoch));
+    changes.add(new Change(key, value, epoch));
     if (value != null && key.startsWith("c/machines")) {
-      mapWrites++;
+      assignmentMapWrites++;
     }
   }
 
   @Override
   public void take(
-      String from, String method, String path, byte[] body, Consumer<Response> answered) {
+      String from, String method, String path, byte[] body, Consumer<Response> respondAtOnce) {
     Consumer<Response> respond =
-        slowMs == 0
-            ? answered
+        maxAnswerDelayMs == 0
+            ? respondAtOnce
             : response ->
                 simulation.after(
-                    simulation.random.nextInt(Math.max(1, slowMs)),
-                    () -> answered.accept(response));
+                    simulation.random.nextInt(Math.max(1, maxAnswerDelayMs)),
+                    () -> respondAtOnce.accept(response));
     boolean watch = path.startsWith("/follow");
-    if ((outage || refused.contains(from)) && !watch) {
+    if ((outage || refusedHosts.contains(from)) && !watch) {
       respond.accept(new Response(503, Json.object()));
       return;
     }
     if (watch) {
-      follow(from, query(path), respond);
+      follow(from, parseQuery(path), respond);
     } else if (path.equals("/txn")) {
-      if (busy.contains(from)) {
+      if (throttledHosts.contains(from)) {
         respond.accept(new Response(429, Json.object()));
-      } else if (lateWrites > 0 && simulation.random.nextInt(100) < lateWrites) {
+      } else if (lateWritePercent > 0 && simulation.random.nextInt(100) < lateWritePercent) {
         simulation.after(
             2_000 + simulation.random.nextInt(10_000),
             () -> {
@@ -191,8 +191,8 @@
       Hold hold = new Hold();
       hold.ttlMs = Json.read(body).path("ttl_ms").asLong();
       hold.until = simulation.now() + hold.ttlMs * Simulation.MS;
-      holds.put(++lastHold, hold);
-      respond.accept(new Response(200, Json.object().put("permit", lastHold)));
+      holds.put(++lastHoldId, hold);
+      respond.accept(new Response(200, Json.object().put("permit", lastHoldId)));
     } else if (path.startsWith("/holds/")) {
       Hold hold = holds.get(Long.parseLong(path.split("/", -1)[2]));
       if (hold == null) {
@@ -202,7 +202,7 @@
         respond.accept(new Response(200, Json.object()));
       }
     } else if (path.startsWith("/store?")) {
-      respond.accept(list(query(path)));
+      respond.accept(listKeys(parseQuery(path)));
     } else if (path.startsWith("/store/")) {
       String key = path.substring("/store/".length());
       Item item = items.get(key);
@@ -220,32 +220,33 @@
 
   private void commit(byte[] body, Consumer<Response> respond) {
     Response result = transact(Json.read(body));
-    if (lostAnswers > 0 && simulation.random.nextInt(100) < lostAnswers) {
+    if (lostAnswerPercent > 0 && simulation.random.nextInt(100) < lostAnswerPercent) {
       return;
     }
-    if (slowCommitMs > 0) {
-      simulation.after(simulation.random.nextInt(slowCommitMs), () -> respond.accept(result));
+    if (maxCommitDelayMs > 0) {
+      simulation.after(simulation.random.nextInt(maxCommitDelayMs), () -> respond.accept(result));
     } else {
       respond.accept(result);
     }
   }
 
-  private static Map<String, String> query(String path) {
-    Map<String, String> out = new HashMap<>();
+  private static Map<String, String> parseQuery(String path) {
+    Map<String, String> parameters = new HashMap<>();
     for (String part : path.substring(path.indexOf('?') + 1).split("&", -1)) {
       String[] kv = part.split("=", 2);
-      out.put(kv[0], URLDecoder.decode(kv[1], StandardCharsets.UTF_8));
+      parameters.put(kv[0], URLDecoder.decode(kv[1], StandardCharsets.UTF_8));
     }
-    return out;
+    return parameters;
   }
 
-  private Response list(Map<String, String> q) {
-    String under = q.get("under");
+  private Response listKeys(Map<String, String> query) {
+    String under = query.get("under");
     ObjectNode answer = Json.object();
     ArrayNode entries = answer.putArray("entries");
-    int limit = Integer.parseInt(q.getOrDefault("limit", "1000"));
+    int limit = Integer.parseInt(query.getOrDefault("limit", "1000"));
     boolean more = false;
-    for (Map.Entry<String, Item> e : items.tailMap(q.getOrDefault("since", ""), false).entrySet()) {
+    for (Map.Entry<String, Item> e :
+        items.tailMap(query.getOrDefault("since", ""), false).entrySet()) {
       if (!e.getKey().startsWith(under)) {
         continue;
       }
@@ -264,22 +265,23 @@
 
   private Response transact(JsonNode body) {
     ArrayNode failed = Json.array();
-    for (JsonNode when : body.path("when")) {
-      Item item = items.get(when.path("k").asText());
-      if ((item == null ? 0 : item.stamp) != when.path("stamp").asLong()) {
-        failed.add(when.path("k").asText());
+    for (JsonNode condition : body.path("when")) {
+      Item item = items.get(condition.path("k").asText());
+      if ((item == null ? 0 : item.stamp) != condition.path("stamp").asLong()) {
+        failed.add(condition.path("k").asText());
       }
     }
     JsonNode writes = body.path("writes");
     if (writes.size() > txnOps
         || body.path("when").size() > 4 * txnOps
         || Json.bytes(body).length > 64 * 1024) {
-      simulation.broke("limits", "a transaction over the store's limits");
+      simulation.recordViolation("limits", "a transaction over the store's limits");
       return new Response(400, Json.object());
     }
     for (JsonNode write : writes) {
       if (write.has("put") && Json.bytes(write.path("v")).length > valueBytes) {
-        simulation.broke("limits", "a value over the store's limit: " + write.path("put").asText());
+        simulation.recordViolation(
+            "limits", "a value over the store's limit: " + write.path("put").asText());
         return new Response(400, Json.object());
       }
       if (write.path("permit").asLong() > 0 && !holds.containsKey(write.path("permit").asLong())) {
@@ -296,7 +298,7 @@
       for (JsonNode write : writes) {
         if (write.has("put")) {
           String key = write.path("put").asText();
-          if (announceNoVersion.contains(key)) {
+          if (unversionedKeys.contains(key)) {
             ((ObjectNode) write.path("v")).remove("v");
           }
           change(key, write.path("v"), write.path("permit").asLong());
@@ -304,49 +306,55 @@
           change(write.path("remove").asText(), null, 0);
         }
       }
-      wake();
+      answerWatchers();
     }
     return new Response(200, Json.object().put("epoch", epoch));
   }
 
-  private void follow(String from, Map<String, String> q, Consumer<Response> respond) {
+  private void follow(String from, Map<String, String> query, Consumer<Response> respond) {
     Watcher watcher =
         new Watcher(
-            from, q.get("under"), Long.parseLong(q.get("since")), respond, new boolean[] {false});
+            from,
+            query.get("under"),
+            Long.parseLong(query.get("since")),
+            respond,
+            new boolean[] {false});
     watchers.add(watcher);
-    simulation.after(Long.parseLong(q.getOrDefault("block_ms", "0")), () -> answer(watcher, true));
+    simulation.after(
+        Long.parseLong(query.getOrDefault("block_ms", "0")), () -> answer(watcher, true));
     answer(watcher, false);
   }
 
-  private void wake() {
-    new ArrayList<>(watchers).forEach(w -> answer(w, false));
+  private void answerWatchers() {
+    new ArrayList<>(watchers).forEach(watcher -> answer(watcher, false));
   }
 
-  private void answer(Watcher w, boolean timeIsUp) {
-    if (w.over[0] || outage || refused.contains(w.from)) {
+  private void answer(Watcher watcher, boolean timeIsUp) {
+    if (watcher.answered[0] || outage || refusedHosts.contains(watcher.from)) {
       return;
     }
     ObjectNode answer = Json.object().put("epoch", epoch);
     ArrayNode events = answer.putArray("log");
-    for (Change c : log) {
-      if (c.stamp > w.since && c.key.startsWith(w.prefix)) {
-        ObjectNode event = events.addObject().put("stamp", c.stamp);
-        if (c.value == null) {
-          event.put("remove", c.key);
+    for (Change change : changes) {
+      if (change.stamp > watcher.since && change.key.startsWith(watcher.prefix)) {
+        ObjectNode event = events.addObject().put("stamp", change.stamp);
+        if (change.value == null) {
+          event.put("remove", change.key);
         } else {
-          event.put("put", c.key).set("v", c.value);
+          event.put("put", change.key).set("v", change.value);
         }
       }
     }
     if (timeIsUp || !events.isEmpty()) {
-      w.over[0] = true;
-      watchers.remove(w);
-      Response told = new Response(200, answer);
-      int slow = slowWatches.getOrDefault(w.from, 0);
-      if (slow > 0) {
-        simulation.after(simulation.random.nextInt(slow), () -> w.respond.accept(told));
+      watcher.answered[0] = true;
+      watchers.remove(watcher);
+      Response response = new Response(200, answer);
+      int maxDelayMs = watchDelayMsByHost.getOrDefault(watcher.from, 0);
+      if (maxDelayMs > 0) {
+        simulation.after(
+            simulation.random.nextInt(maxDelayMs), () -> watcher.respond.accept(response));
       } else {
-        w.respond.accept(told);
+        watcher.respond.accept(response);
       }
     }
   }
--- a/src/test/java/org/sandford/scenario/FakeWorker.java
+++ b/src/test/java/org/sandford/scenario/FakeWorker.java
@@ -27,11 +27,11 @@
       this.number = Integer.parseInt(piece.substring(piece.indexOf('/') + 1));
     }
 
-    boolean on() {
+    boolean isActive() {
       return status.equals("running") || status.equals("saving") || status.equals("gathering");
     }
 
-    boolean ended() {
+    boolean isEnded() {
       return status.equals("ended");
     }
   }
@@ -39,62 +39,64 @@
   private final Simulation simulation;
   private final Scenario scenario;
   final FakeCloud.Rented machine;
-  final Map<String, Held> held = new LinkedHashMap<>();
-  private final List<Runnable> whileHanging = new ArrayList<>();
-  private long agentEpoch = 1;
+  final Map<String, Held> tasks = new LinkedHashMap<>();
+  private final List<Runnable> deferredActions = new ArrayList<>();
+  private long tenure = 1;
   private long serial;
   private long fence;
-  private long leaseFrom;
-  private int target;
-  private boolean inFlight;
+  private long leaseRenewedAt;
+  private int targetController;
+  private boolean reportInFlight;
   private long reportRound;
-  private boolean gone;
+  private boolean terminated;
   private boolean hanging;
-  boolean faulty;
+  boolean tasksFail;
 
   /** It reaches no controller, while direct commands reach it. */
-  boolean unreachable;
+  boolean reportsBlocked;
 
   /** A report that was kept to be delivered later. */
-  private byte[] kept;
+  private byte[] capturedReport;
 
-  private Double noticeS;
+  private Double interruptionNoticeS;
 
   FakeWorker(Simulation simulation, Scenario scenario, FakeCloud.Rented machine) {
     this.simulation = simulation;
     this.scenario = scenario;
     this.machine = machine;
-    this.leaseFrom = simulation.now();
-    this.target = scenario.random(scenario.script.controllers);
-    simulation.after(1, () -> report());
-    watchLease();
+    this.leaseRenewedAt = simulation.now();
+    this.targetController = scenario.random(scenario.script.controllers);
+    simulation.after(1, () -> sendReport());
+    checkLeasePeriodically();
   }
 
-  private void dropAll() {
-    List<Held> dropped = new ArrayList<>(held.values());
-    held.clear();
-    dropped.stream().filter(task -> task.job != null && task.job.gang).forEach(this::leftItsGang);
+  private void removeAllTasks() {
+    List<Held> removed = new ArrayList<>(tasks.values());
+    tasks.clear();
+    removed.stream()
+        .filter(task -> task.job != null && task.job.gang)
+        .forEach(this::removeFromGang);
   }
 
-  private void leftItsGang(Held task) {
-    scenario.gang(task).gone(task);
+  private void removeFromGang(Held task) {
+    scenario.gangOf(task).remove(task);
   }
 
-  boolean hangs() {
+  boolean isHanging() {
     return hanging;
   }
 
   /** All tasks of the gang are there: the task runs from now on. */
-  void runs(Held task) {
+  void startRunning(Held task) {
     task.status = "running";
-    changed();
+    scheduleReport();
   }
 
   /** Ends the task if it is still there and in this state. */
-  void endIf(Held task, String status, String cause) {
-    if (!gone && held.containsValue(task) && task.status.equals(status)) {
+  void endIfInStatus(Held task, String status, String cause) {
+    if (!terminated && tasks.containsValue(task) && task.status.equals(status)) {
       if (hanging) {
-        whileHanging.add(() -> endIf(task, status, cause));
+        deferredActions.add(() -> endIfInStatus(task, status, cause));
       } else {
         end(task, cause);
       }
@@ -102,153 +104,157 @@
   }
 
   void destroy() {
-    gone = true;
-    dropAll();
+    terminated = true;
+    removeAllTasks();
     scenario.servers.remove(machine.name, this);
   }
 
   void die() {
-    gone = true;
-    dropAll();
+    terminated = true;
+    removeAllTasks();
     simulation.setDead(machine.name, true);
   }
 
-  boolean usable() {
-    return !gone
+  boolean isUsable() {
+    return !terminated
         && !hanging
-        && !faulty
-        && !unreachable
-        && noticeS == null
+        && !tasksFail
+        && !reportsBlocked
+        && interruptionNoticeS == null
         && !simulation.isDead(machine.name);
   }
 
-  boolean inTrouble() {
-    return !gone && (hanging || unreachable);
+  boolean hasFault() {
+    return !terminated && (hanging || reportsBlocked);
   }
 
   /** Keeps what it would report now, as if it were held back on its way. */
-  void keepReport() {
-    kept = Json.bytes(body());
+  void captureReport() {
+    capturedReport = Json.bytes(reportBody());
   }
 
-  void deliverKept(String to) {
+  void deliverCapturedReport(String to) {
     FakeServer server = scenario.servers.get(to);
     if (server != null && !simulation.isDead(to)) {
-      server.take(machine.name, "POST", "/hello", kept, ignored -> {});
+      server.take(machine.name, "POST", "/hello", capturedReport, ignored -> {});
     }
   }
 
-  void hang(boolean on) {
-    hanging = on;
-    if (!on) {
+  void hang(boolean hang) {
+    hanging = hang;
+    if (!hang) {
       checkLease();
-      List<Runnable> late = new ArrayList<>(whileHanging);
-      whileHanging.clear();
-      late.forEach(Runnable::run);
+      List<Runnable> actions = new ArrayList<>(deferredActions);
+      deferredActions.clear();
+      actions.forEach(Runnable::run);
     }
   }
 
-  void notice(double seconds) {
-    noticeS = seconds;
-    changed();
-    simulation.after((long) (seconds * 1000), () -> scenario.cloud.take(machine.name));
+  void noticeInterruption(double seconds) {
+    interruptionNoticeS = seconds;
+    scheduleReport();
+    simulation.after((long) (seconds * 1000), () -> scenario.cloud.removeMachine(machine.name));
   }
 
-  private void watchLease() {
-    if (!gone) {
+  private void checkLeasePeriodically() {
+    if (!terminated) {
       if (!hanging) {
         checkLease();
       }
-      simulation.after(50, this::watchLease);
+      simulation.after(50, this::checkLeasePeriodically);
     }
   }
 
   private void checkLease() {
-    if (simulation.now() - leaseFrom > scenario.script.leaseS * 1e9) {
-      held.values().stream()
-          .filter(h -> h.on() && h.job.abortedAt == 0)
-          .forEach(h -> scenario.rules.lostWithLease++);
-      dropAll();
-      agentEpoch++;
-      leaseFrom = simulation.now();
-      changed();
+    if (simulation.now() - leaseRenewedAt > scenario.script.leaseS * 1e9) {
+      tasks.values().stream()
+          .filter(task -> task.isActive() && task.job.cancelConfirmedAt == 0)
+          .forEach(task -> scenario.rules.lostWithLease++);
+      removeAllTasks();
+      tenure++;
+      leaseRenewedAt = simulation.now();
+      scheduleReport();
     }
   }
 
-  private ObjectNode body() {
+  private ObjectNode reportBody() {
     serial++;
     ObjectNode body = Json.object();
     body.put("host", machine.name).put("addr", machine.name + ":90").put("machine_kind", "m8");
     body.put("site", machine.zone).put("reclaimable", machine.spot);
-    body.put("tenure", agentEpoch).put("serial", serial).put("fence", fence);
-    if (noticeS != null) {
-      body.put("warning_s", noticeS);
+    body.put("tenure", tenure).put("serial", serial).put("fence", fence);
+    if (interruptionNoticeS != null) {
+      body.put("warning_s", interruptionNoticeS);
     }
     ArrayNode pieces = body.putArray("pieces");
-    for (Held h : held.values()) {
+    for (Held task : tasks.values()) {
       ObjectNode piece =
-          pieces.addObject().put("piece", h.piece).put("try", h.attempt).put("status", h.status);
-      if (h.ended()) {
-        piece.put("exit_cause", h.cause);
+          pieces
+              .addObject()
+              .put("piece", task.piece)
+              .put("try", task.attempt)
+              .put("status", task.status);
+      if (task.isEnded()) {
+        piece.put("exit_cause", task.cause);
       }
     }
     return body;
   }
 
-  private void changed() {
+  private void scheduleReport() {
     long round = ++reportRound;
     simulation.after(
         500,
         () -> {
           if (round == reportRound) {
-            report();
+            sendReport();
           }
         });
   }
 
-  private void report() {
-    if (gone) {
+  private void sendReport() {
+    if (terminated) {
       return;
     }
     if (hanging) {
-      simulation.after(200, this::report);
+      simulation.after(200, this::sendReport);
       return;
     }
-    if (inFlight) {
-      changed();
+    if (reportInFlight) {
+      scheduleReport();
       return;
     }
-    long mine = ++reportRound;
-    inFlight = true;
+    long round = ++reportRound;
+    reportInFlight = true;
     long sentAt = simulation.now();
-    long sentTenure = agentEpoch;
-    String to = "c" + target;
-    boolean[] over = {false};
-    ObjectNode body = body();
+    long sentTenure = tenure;
+    String to = "c" + targetController;
+    boolean[] handled = {false};
+    ObjectNode body = reportBody();
     Consumer<Response> answered =
         response -> {
-          if (over[0] || gone) {
+          if (handled[0] || terminated) {
             return;
           }
-          over[0] = true;
-          inFlight = false;
-          answered(response, sentAt, sentTenure);
+          handled[0] = true;
+          reportInFlight = false;
+          handleAnswer(response, sentAt, sentTenure);
         };
     simulation.after(4_000, () -> answered.accept(new Response(0, Json.object())));
     if (simulation.lateReports && simulation.random.nextInt(4) == 0) {
-      long late = 1_000L + simulation.random.nextInt((int) (3_000 * scenario.script.leaseS));
-      String whereTo = "c" + simulation.random.nextInt(scenario.script.controllers);
+      long delayMs = 1_000L + simulation.random.nextInt((int) (3_000 * scenario.script.leaseS));
+      String lateTarget = "c" + simulation.random.nextInt(scenario.script.controllers);
       simulation.after(
-          late,
+          delayMs,
           () -> {
-            FakeServer other = scenario.servers.get(whereTo);
-            if (other != null && !simulation.isDead(whereTo)) {
+            FakeServer other = scenario.servers.get(lateTarget);
+            if (other != null && !simulation.isDead(lateTarget)) {
               other.take(machine.name, "POST", "/hello", Json.bytes(body), ignored -> {});
             }
           });
     }
     FakeServer server = scenario.servers.get(to);
-    if (server == null || simulation.isDead(to) || unreachable) {
+    if (server == null || simulation.isDead(to) || reportsBlocked) {
       simulation.after(1, () -> answered.accept(new Response(0, Json.object())));
     } else {
       simulation.carry(
@@ -262,13 +268,13 @@
                   "/hello",
                   Json.bytes(body),
                   response -> {
-                    scenario.rules.ordered(response.body().path("orders"));
+                    scenario.rules.checkOrders(response.body().path("orders"));
                     simulation.carry(
                         to,
                         machine.name,
                         () -> {
                           if (hanging) {
-                            whileHanging.add(() -> answered.accept(response));
+                            deferredActions.add(() -> answered.accept(response));
                           } else {
                             answered.accept(response);
                           }
@@ -281,72 +287,74 @@
     simulation.after(
         period,
         () -> {
-          if (mine == reportRound) {
-            report();
+          if (round == reportRound) {
+            sendReport();
           }
         });
   }
 
-  private void answered(Response response, long sentAt, long sentTenure) {
+  private void handleAnswer(Response response, long sentAt, long sentTenure) {
     if (response.status() == 200) {
       long token = response.body().path("fence").asLong(-1);
-      if (token < fence || sentTenure != agentEpoch) {
+      if (token < fence || sentTenure != tenure) {
         return;
       }
-      boolean raised = token > fence;
+      boolean fenceRaised = token > fence;
       fence = token;
-      leaseFrom = Math.max(leaseFrom, sentAt);
-      execute(response.body().path("orders"));
-      if (raised) {
-        changed();
+      leaseRenewedAt = Math.max(leaseRenewedAt, sentAt);
+      executeOrders(response.body().path("orders"));
+      if (fenceRaised) {
+        scheduleReport();
       }
       return;
     }
     String to = response.body().path("reports_to").asText("");
-    if (response.status() == 421 && scenario.servers.containsKey(to) && !to.equals("c" + target)) {
-      target = Integer.parseInt(to.substring(1));
-      simulation.after(100, this::report);
+    if (response.status() == 421
+        && scenario.servers.containsKey(to)
+        && !to.equals("c" + targetController)) {
+      targetController = Integer.parseInt(to.substring(1));
+      simulation.after(100, this::sendReport);
     } else {
-      target = (target + 1) % scenario.script.controllers;
-      simulation.after(1_000, this::report);
+      targetController = (targetController + 1) % scenario.script.controllers;
+      simulation.after(1_000, this::sendReport);
     }
   }
 
   @Override
   public void take(
       String from, String method, String path, byte[] bytes, Consumer<Response> respond) {
-    if (gone) {
+    if (terminated) {
       return;
     }
     if (hanging) {
-      whileHanging.add(() -> take(from, method, path, bytes, respond));
+      deferredActions.add(() -> take(from, method, path, bytes, respond));
       return;
     }
     checkLease();
     if (path.equals("/show")) {
-      respond.accept(new Response(200, body()));
+      respond.accept(new Response(200, reportBody()));
       return;
     }
     JsonNode body = Json.read(bytes);
-    if (body.path("fence").asLong(-1) < fence || body.path("tenure").asLong() != agentEpoch) {
-      respond.accept(new Response(409, body()));
+    if (body.path("fence").asLong(-1) < fence || body.path("tenure").asLong() != tenure) {
+      respond.accept(new Response(409, reportBody()));
       return;
     }
-    boolean raised = body.path("fence").asLong() > fence;
+    boolean fenceRaised = body.path("fence").asLong() > fence;
     fence = body.path("fence").asLong();
-    execute(body.path("orders"));
-    respond.accept(new Response(200, body()));
-    if (raised) {
-      changed();
+    executeOrders(body.path("orders"));
+    respond.accept(new Response(200, reportBody()));
+    if (fenceRaised) {
+      scheduleReport();
     }
   }
 
-  private void execute(JsonNode orders) {
+  private void executeOrders(JsonNode orders) {
     for (JsonNode order : orders) {
       String piece = order.path("piece").asText();
       long attempt = order.path("try").asLong();
       String key = piece + "@" + attempt;
-      Held known = held.get(key);
+      Held known = tasks.get(key);
       switch (order.path("verb").asText()) {
         case "start" -> {
           if (known == null) {
@@ -354,98 +362,103 @@
           }
         }
         case "stop" -> {
-          if (known != null && !known.ended()) {
+          if (known != null && !known.isEnded()) {
             stop(known, order.path("wind_down_s").asDouble());
           }
         }
         case "clear" -> {
-          if (known != null && known.ended()) {
-            held.remove(key);
-            changed();
+          if (known != null && known.isEnded()) {
+            tasks.remove(key);
+            scheduleReport();
           }
         }
-        default -> simulation.broke("protocol", "an unknown order " + order);
+        default -> simulation.recordViolation("protocol", "an unknown order " + order);
       }
     }
   }
 
   private void start(String piece, long attempt, String key) {
     UserJob job = scenario.submitted.get(piece.substring(0, piece.indexOf('/')));
-    Held h = new Held(piece, attempt, job);
-    held.put(key, h);
-    changed();
+    Held task = new Held(piece, attempt, job);
+    tasks.put(key, task);
+    scheduleReport();
     if (job == null) {
-      end(h, "unknown");
+      end(task, "unknown");
       return;
     }
-    if (held.values().stream().anyMatch(o -> o != h && o.piece.equals(piece) && !o.ended())) {
-      end(h, "in_use");
+    if (tasks.values().stream()
+        .anyMatch(other -> other != task && other.piece.equals(piece) && !other.isEnded())) {
+      end(task, "in_use");
       return;
     }
-    double used = held.values().stream().filter(o -> !o.ended()).mapToDouble(o -> o.job.cpus).sum();
-    if (used > 8 + 1e-9) {
-      end(h, "full");
+    double usedCpus =
+        tasks.values().stream()
+            .filter(other -> !other.isEnded())
+            .mapToDouble(other -> other.job.cpus)
+            .sum();
+    if (usedCpus > 8 + 1e-9) {
+      end(task, "full");
       return;
     }
-    simulation.after(200, () -> run(h, key));
+    simulation.after(200, () -> run(task, key));
   }
 
-  private boolean has(Held h, String key) {
-    return !gone && held.get(key) == h;
+  private boolean holds(Held task, String key) {
+    return !terminated && tasks.get(key) == task;
   }
 
-  private void run(Held h, String key) {
-    if (!has(h, key) || !h.status.equals("pulling")) {
+  private void run(Held task, String key) {
+    if (!holds(task, key) || !task.status.equals("pulling")) {
       return;
     }
     if (hanging) {
-      whileHanging.add(() -> run(h, key));
+      deferredActions.add(() -> run(task, key));
       return;
     }
-    if (faulty || h.job.fails) {
-      end(h, "error");
+    if (tasksFail || task.job.tasksFail) {
+      end(task, "error");
       return;
     }
-    scenario.rules.starts(this, h);
-    if (h.job.gang) {
-      h.status = "gathering";
-      changed();
-      scenario.gang(h).gathers(this, h);
+    scenario.rules.checkStart(this, task);
+    if (task.job.gang) {
+      task.status = "gathering";
+      scheduleReport();
+      scenario.gangOf(task).join(this, task);
       return;
     }
-    h.status = "running";
-    changed();
-    if (!h.job.standing) {
-      simulation.after((long) (h.job.runSOf(h.number) * 1000), () -> finish(h, key));
+    task.status = "running";
+    scheduleReport();
+    if (!task.job.service) {
+      simulation.after((long) (task.job.runTimeSOf(task.number) * 1000), () -> finish(task, key));
     }
   }
 
-  private void finish(Held h, String key) {
-    if (has(h, key) && h.status.equals("running")) {
+  private void finish(Held task, String key) {
+    if (holds(task, key) && task.status.equals("running")) {
       if (hanging) {
-        whileHanging.add(() -> finish(h, key));
+        deferredActions.add(() -> finish(task, key));
       } else {
-        h.job.finished.add(h.piece);
-        end(h, "done");
-        if (h.job.finished.size() == h.job.tasks) {
-          scenario.lastTaskDone(h.job);
+        task.job.finishedTasks.add(task.piece);
+        end(task, "done");
+        if (task.job.finishedTasks.size() == task.job.tasks) {
+          scenario.onLastTaskDone(task.job);
         }
       }
     }
   }
 
-  private void stop(Held h, double graceS) {
-    if (h.job == null || !h.job.gang || !scenario.gang(h).stops(h, graceS)) {
-      end(h, "stopped");
+  private void stop(Held task, double graceS) {
+    if (task.job == null || !task.job.gang || !scenario.gangOf(task).requestStop(task, graceS)) {
+      end(task, "stopped");
     }
   }
 
-  private void end(Held h, String cause) {
-    h.status = "ended";
-    h.cause = cause;
-    changed();
-    if (h.job != null && h.job.gang && !cause.equals("done")) {
-      leftItsGang(h);
+  private void end(Held task, String cause) {
+    task.status = "ended";
+    task.cause = cause;
+    scheduleReport();
+    if (task.job != null && task.job.gang && !cause.equals("done")) {
+      removeFromGang(task);
     }
   }
 }
--- a/src/test/java/org/sandford/scenario/FreeCapacity.java
+++ b/src/test/java/org/sandford/scenario/FreeCapacity.java
@@ -11,59 +11,60 @@
  */
 final class FreeCapacity {
   private static final double MACHINE_CPUS = 8;
-  private static final double EPSILON = 1e-9;
+  private static final double CPU_EPSILON = 1e-9;
 
   private final FakeCloud cloud;
-  private final Map<String, Double> teamMax;
+  private final Map<String, Double> teamMaxCpus;
 
-  FreeCapacity(FakeCloud cloud, Map<String, Double> teamMax) {
+  FreeCapacity(FakeCloud cloud, Map<String, Double> teamMaxCpus) {
     this.cloud = cloud;
-    this.teamMax = teamMax;
+    this.teamMaxCpus = teamMaxCpus;
   }
 
   /**
    * Whether a task of the job that is on no machine would find room: a machine that fits, and its
    * team's limit.
    */
-  boolean fitsSomewhere(UserJob job) {
+  boolean hasCapacityFor(UserJob job) {
     if (job.gang) {
       return gangFits(job);
     }
-    Set<String> on = new HashSet<>();
-    Map<String, Integer> byZone = new HashMap<>();
-    double team = 0;
-    for (FakeCloud.Rented m : cloud.machines.values()) {
-      for (FakeWorker.Held h :
-          m.worker == null ? List.<FakeWorker.Held>of() : m.worker.held.values()) {
-        if (!h.ended() && h.job != null) {
-          team += h.job.team.equals(job.team) ? h.job.cpus : 0;
-          if (h.job == job) {
-            on.add(h.piece);
-            byZone.merge(m.zone, 1, Integer::sum);
+    Set<String> placed = new HashSet<>();
+    Map<String, Integer> placedByZone = new HashMap<>();
+    double teamCpus = 0;
+    for (FakeCloud.Rented machine : cloud.machines.values()) {
+      for (FakeWorker.Held task :
+          machine.worker == null ? List.<FakeWorker.Held>of() : machine.worker.tasks.values()) {
+        if (!task.isEnded() && task.job != null) {
+          teamCpus += task.job.team.equals(job.team) ? task.job.cpus : 0;
+          if (task.job == job) {
+            placed.add(task.piece);
+            placedByZone.merge(machine.zone, 1, Integer::sum);
           }
         }
       }
     }
-    Set<String> covered = new HashSet<>(on);
-    covered.addAll(job.standing ? Set.of() : job.finished);
-    if (covered.size() >= job.tasks || team + job.cpus > teamMax.get(job.team)) {
+    Set<String> placedOrFinished = new HashSet<>(placed);
+    placedOrFinished.addAll(job.service ? Set.of() : job.finishedTasks);
+    if (placedOrFinished.size() >= job.tasks || teamCpus + job.cpus > teamMaxCpus.get(job.team)) {
       return false;
     }
-    for (FakeCloud.Rented m : cloud.machines.values()) {
+    for (FakeCloud.Rented machine : cloud.machines.values()) {
       boolean allowed =
-          m.worker != null
-              && m.worker.usable()
-              && (!m.spot || job.spot)
-              && (job.zone.isEmpty() || job.zone.equals(m.zone))
-              && (!job.sameZone || byZone.isEmpty() || byZone.containsKey(m.zone))
-              && (!job.spreadAcrossZones || byZone.getOrDefault(m.zone, 0) < (job.tasks + 1) / 2);
+          machine.worker != null
+              && machine.worker.isUsable()
+              && (!machine.spot || job.spot)
+              && (job.zone.isEmpty() || job.zone.equals(machine.zone))
+              && (!job.sameZone || placedByZone.isEmpty() || placedByZone.containsKey(machine.zone))
+              && (!job.spreadAcrossZones
+                  || placedByZone.getOrDefault(machine.zone, 0) < (job.tasks + 1) / 2);
       if (allowed) {
-        double used =
-            m.worker.held.values().stream()
-                .filter(h -> !h.ended() && h.job != null)
-                .mapToDouble(h -> h.job.cpus)
+        double usedCpus =
+            machine.worker.tasks.values().stream()
+                .filter(task -> !task.isEnded() && task.job != null)
+                .mapToDouble(task -> task.job.cpus)
                 .sum();
-        if (used + job.cpus <= MACHINE_CPUS + EPSILON) {
+        if (usedCpus + job.cpus <= MACHINE_CPUS + CPU_EPSILON) {
           return true;
         }
       }
@@ -76,39 +77,40 @@
    * team's limit.
    */
   private boolean gangFits(UserJob gang) {
-    Map<String, Integer> places = new HashMap<>();
-    double team = 0;
-    int running = 0;
-    for (FakeCloud.Rented m : cloud.machines.values()) {
-      if (m.worker == null) {
+    Map<String, Integer> slotsByZone = new HashMap<>();
+    double teamCpus = 0;
+    int runningTasks = 0;
+    for (FakeCloud.Rented machine : cloud.machines.values()) {
+      if (machine.worker == null) {
         continue;
       }
-      double used = 0;
-      for (FakeWorker.Held task : m.worker.held.values()) {
-        if (task.ended() || task.job == null) {
+      double usedCpus = 0;
+      for (FakeWorker.Held task : machine.worker.tasks.values()) {
+        if (task.isEnded() || task.job == null) {
           continue;
         }
         if (task.job == gang) {
-          running += task.status.equals("running") ? 1 : 0;
+          runningTasks += task.status.equals("running") ? 1 : 0;
           continue;
         }
-        used += task.job.cpus;
-        team += task.job.team.equals(gang.team) ? task.job.cpus : 0;
+        usedCpus += task.job.cpus;
+        teamCpus += task.job.team.equals(gang.team) ? task.job.cpus : 0;
       }
       boolean allowed =
-          m.worker.usable()
-              && (!m.spot || gang.spot)
-              && (gang.zone.isEmpty() || gang.zone.equals(m.zone));
+          machine.worker.isUsable()
+              && (!machine.spot || gang.spot)
+              && (gang.zone.isEmpty() || gang.zone.equals(machine.zone));
       if (allowed) {
-        places.merge(
-            gang.sameZone ? m.zone : "",
-            (int) Math.floor((MACHINE_CPUS - used + EPSILON) / gang.cpus),
+        slotsByZone.merge(
+            gang.sameZone ? machine.zone : "",
+            (int) Math.floor((MACHINE_CPUS - usedCpus + CPU_EPSILON) / gang.cpus),
             Integer::sum);
       }
     }
-    boolean over = gang.finished.size() >= gang.tasks || running == gang.tasks;
-    return !over
-        && team + gang.tasks * gang.cpus <= teamMax.get(gang.team) + EPSILON
-        && places.values().stream().anyMatch(n -> n >= gang.tasks);
+    boolean runningOrFinished =
+        gang.finishedTasks.size() >= gang.tasks || runningTasks == gang.tasks;
+    return !runningOrFinished
+        && teamCpus + gang.tasks * gang.cpus <= teamMaxCpus.get(gang.team) + CPU_EPSILON
+        && slotsByZone.values().stream().anyMatch(slots -> slots >= gang.tasks);
   }
 }
--- a/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
+++ b/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
@@ -12,22 +12,22 @@
  * down as a scenario.
  */
 final class RandomFaultCombinations {
-  private static final double[][] WORKERS = {{2, 16, 46}, {4, 22, 52}, {5, 26, 56}};
-  private static final double TROUBLES_FROM_S = 15;
-  private static final double TROUBLES_UNTIL_S = 150;
-  private static final double UNTIL_S = 330;
+  private static final double[][] WORKER_PERIODS = {{2, 16, 46}, {4, 22, 52}, {5, 26, 56}};
+  private static final double FAULTS_FROM_S = 15;
+  private static final double FAULTS_UNTIL_S = 150;
+  private static final double END_S = 330;
 
   /** How a machine is out of reach, and how that ends. */
-  private static final String[][] SPELLS = {
+  private static final String[][] MACHINE_FAULTS = {
     {"hang", "resume"}, {"mute", "unmute"}, {"deafen", "hears"}
   };
 
   /** Which controllers end. */
-  private static final String[] ENDING = {
+  private static final String[] CRASH_TARGETS = {
     "owner:red", "owner:blue", "holder:m:0", "holder:m:1", "leader", "all"
   };
 
-  private static final long CLOSE_LOOKS_SALT = 0x9E3779B97F4A7C15L;
+  private static final long FREQUENT_POLLS_SALT = 0x9E3779B97F4A7C15L;
 
   private final Random random;
   private final List<double[]> times = new ArrayList<>();
@@ -38,25 +38,25 @@
     random = new Random(seed);
   }
 
-  static List<String> draw(long seed) {
-    return new RandomFaultCombinations(seed).lines(seed);
+  static List<String> generate(long seed) {
+    return new RandomFaultCombinations(seed).generateLines(seed);
   }
 
   /**
    * The same world, in which users look closely while the store's watches and its answers to
    * transactions are slow or get lost. Drawn apart from all else.
    */
-  static List<String> drawWithCloseLooks(long seed) {
-    Random own = new Random(seed * CLOSE_LOOKS_SALT);
-    List<String> lines = new ArrayList<>(draw(seed));
+  static List<String> generateWithFrequentPolls(long seed) {
+    Random ownRandom = new Random(seed * FREQUENT_POLLS_SALT);
+    List<String> lines = new ArrayList<>(generate(seed));
     lines.add("at 2 close_looks on");
-    lines.add("at 2 slow_watches all " + (50 + own.nextInt(400)));
-    lines.add("at 2 slow_commits " + (50 + own.nextInt(400)));
-    lines.add("at 2 lost_answers " + own.nextInt(40));
-    lines.add("at " + TROUBLES_UNTIL_S + " quick_watches");
-    lines.add("at " + TROUBLES_UNTIL_S + " slow_commits 0");
-    lines.add("at " + TROUBLES_UNTIL_S + " lost_answers 0");
-    return inOrder(lines);
+    lines.add("at 2 slow_watches all " + (50 + ownRandom.nextInt(400)));
+    lines.add("at 2 slow_commits " + (50 + ownRandom.nextInt(400)));
+    lines.add("at 2 lost_answers " + ownRandom.nextInt(40));
+    lines.add("at " + FAULTS_UNTIL_S + " quick_watches");
+    lines.add("at " + FAULTS_UNTIL_S + " slow_commits 0");
+    lines.add("at " + FAULTS_UNTIL_S + " lost_answers 0");
+    return sortedByTime(lines);
   }
 
   /**
@@ -64,107 +64,119 @@
    * reach nobody, short of their lease. How many machines and controllers that meets is drawn anew
    * after each, so that fewer are likelier.
    */
-  static List<String> drawAtTheLimit(long seed) {
-    Random own = new Random(seed);
-    double[] w = WORKERS[own.nextInt(WORKERS.length)];
-    double at = 12 + own.nextDouble() * 3;
+  static List<String> generateAtTeamLimit(long seed) {
+    Random ownRandom = new Random(seed);
+    double[] periods = WORKER_PERIODS[ownRandom.nextInt(WORKER_PERIODS.length)];
+    double at = 12 + ownRandom.nextDouble() * 3;
     List<String> lines = new ArrayList<>();
-    lines.add(String.format(Locale.ROOT, "workers %.0f %.0f %.0f", w[0], w[1], w[2]));
+    lines.add(
+        String.format(Locale.ROOT, "workers %.0f %.0f %.0f", periods[0], periods[1], periods[2]));
     lines.addAll(List.of("seed " + seed, "team red 8 8", "team blue 8 16", "machines 2"));
     lines.addAll(List.of("pool 8", "until 260"));
     lines.add(
-        "at 3 submit wk-1 cpus=" + (own.nextBoolean() ? "1 tasks=8" : "4 tasks=2") + " run=300");
+        "at 3 submit wk-1 cpus="
+            + (ownRandom.nextBoolean() ? "1 tasks=8" : "4 tasks=2")
+            + " run=300");
     lines.add("at 3 submit wk-2 team=blue tasks=8 cpus=2 run=300");
-    for (int machine = 0; machine < 1 + own.nextInt(3); machine++) {
-      String[] spell = SPELLS[own.nextInt(SPELLS.length)];
-      lines.add(step(at + own.nextDouble(), spell[0] + " m:" + machine));
-      lines.add(step(at + 2 + own.nextDouble() * (w[1] - 4), spell[1] + " m:" + machine));
+    for (int machine = 0; machine < 1 + ownRandom.nextInt(3); machine++) {
+      String[] fault = MACHINE_FAULTS[ownRandom.nextInt(MACHINE_FAULTS.length)];
+      lines.add(formatStep(at + ownRandom.nextDouble(), fault[0] + " m:" + machine));
+      lines.add(
+          formatStep(
+              at + 2 + ownRandom.nextDouble() * (periods[1] - 4), fault[1] + " m:" + machine));
     }
-    lines.add(step(at + own.nextDouble() * 4, "abort wk-1"));
-    lines.add(step(at + own.nextDouble() * 4, "abort wk-2"));
-    for (int crash = 0; crash < 1 + own.nextInt(2); crash++) {
-      String who = ENDING[own.nextInt(ENDING.length)];
-      lines.add(step(at + own.nextDouble() * 6, "crash " + who));
+    lines.add(formatStep(at + ownRandom.nextDouble() * 4, "abort wk-1"));
+    lines.add(formatStep(at + ownRandom.nextDouble() * 4, "abort wk-2"));
+    for (int crash = 0; crash < 1 + ownRandom.nextInt(2); crash++) {
+      String target = CRASH_TARGETS[ownRandom.nextInt(CRASH_TARGETS.length)];
+      lines.add(formatStep(at + ownRandom.nextDouble() * 6, "crash " + target));
     }
-    lines.add(step(at + 6 + own.nextDouble() * 6, "start all"));
-    lines.add(step(at + 4 + own.nextDouble() * 6, "outage cloud on"));
+    lines.add(formatStep(at + 6 + ownRandom.nextDouble() * 6, "start all"));
+    lines.add(formatStep(at + 4 + ownRandom.nextDouble() * 6, "outage cloud on"));
     lines.add("at 70 outage cloud off");
     for (int job = 0; job < 8; job++) {
-      String team = own.nextBoolean() ? "red" : "blue";
-      String submit = "submit wk-1" + job + " team=" + team + " tasks=" + (1 + own.nextInt(4));
-      lines.add(step(at + own.nextDouble() * 25, submit + " run=15"));
+      String team = ownRandom.nextBoolean() ? "red" : "blue";
+      String submit =
+          "submit wk-1" + job + " team=" + team + " tasks=" + (1 + ownRandom.nextInt(4));
+      lines.add(formatStep(at + ownRandom.nextDouble() * 25, submit + " run=15"));
     }
-    return inOrder(lines);
+    return sortedByTime(lines);
   }
 
-  private static String step(double at, String what) {
-    return String.format(Locale.ROOT, "at %.2f %s", at, what);
+  private static String formatStep(double at, String step) {
+    return String.format(Locale.ROOT, "at %.2f %s", at, step);
   }
 
   /** Steps in the order of their times, behind what the world is made of. */
-  private static List<String> inOrder(List<String> lines) {
-    List<String> out = new ArrayList<>(lines);
-    out.sort(Comparator.comparingDouble(RandomFaultCombinations::timeOf));
-    return out;
+  private static List<String> sortedByTime(List<String> lines) {
+    List<String> sorted = new ArrayList<>(lines);
+    sorted.sort(Comparator.comparingDouble(RandomFaultCombinations::timeOf));
+    return sorted;
   }
 
   private static double timeOf(String line) {
     return line.startsWith("at ") ? Double.parseDouble(line.split(" ", -1)[1]) : -1;
   }
 
-  private List<String> lines(long seed) {
-    List<String> head = new ArrayList<>();
-    double[] w = WORKERS[random.nextInt(WORKERS.length)];
-    head.add(String.format(Locale.ROOT, "workers %.0f %.0f %.0f", w[0], w[1], w[2]));
+  private List<String> generateLines(long seed) {
+    List<String> lines = new ArrayList<>();
+    double[] periods = WORKER_PERIODS[random.nextInt(WORKER_PERIODS.length)];
+    lines.add(
+        String.format(Locale.ROOT, "workers %.0f %.0f %.0f", periods[0], periods[1], periods[2]));
     machines = 2 + random.nextInt(2);
-    head.add("seed " + seed);
-    head.add("machines " + machines);
-    head.add("pool " + (machines + random.nextInt(5)));
-    head.add("team red 8 " + (16 + 8 * random.nextInt(3)));
-    head.add("team blue 8 32");
-    head.add("until " + UNTIL_S);
+    lines.add("seed " + seed);
+    lines.add("machines " + machines);
+    lines.add("pool " + (machines + random.nextInt(5)));
+    lines.add("team red 8 " + (16 + 8 * random.nextInt(3)));
+    lines.add("team blue 8 32");
+    lines.add("until " + END_S);
     int jobs = 6 + random.nextInt(5);
     for (int i = 0; i < jobs; i++) {
-      job(i);
+      addJob(i);
     }
-    int troubles = 2 + random.nextInt(2);
-    double at = between(TROUBLES_FROM_S, TROUBLES_UNTIL_S - 60);
-    for (int i = 0; i < troubles; i++) {
-      trouble(Math.min(TROUBLES_UNTIL_S - 30, at + between(0, 15) * i), w);
+    int faults = 2 + random.nextInt(2);
+    double at = between(FAULTS_FROM_S, FAULTS_UNTIL_S - 60);
+    for (int i = 0; i < faults; i++) {
+      addFault(Math.min(FAULTS_UNTIL_S - 30, at + between(0, 15) * i), periods);
     }
-    gangs(seed);
+    addGangs(seed);
     // Whatever went on too long is over by now.
-    at(TROUBLES_UNTIL_S + 10, "start all");
+    addStep(FAULTS_UNTIL_S + 10, "start all");
     List<Integer> order = new ArrayList<>();
     for (int i = 0; i < texts.size(); i++) {
       order.add(i);
     }
     order.sort((a, b) -> Double.compare(times.get(a)[0], times.get(b)[0]));
     for (int i : order) {
-      head.add(String.format(Locale.ROOT, "at %.2f %s", times.get(i)[0], texts.get(i)));
+      lines.add(String.format(Locale.ROOT, "at %.2f %s", times.get(i)[0], texts.get(i)));
     }
-    return head;
+    return lines;
   }
 
   /**
    * Adds gangs, drawn apart from all else, so that the rest of a seed's world stays what it was
    * before there were any.
    */
-  private void gangs(long seed) {
-    Random own = new Random(~seed);
-    int gangs = 1 + own.nextInt(2);
+  private void addGangs(long seed) {
+    Random ownRandom = new Random(~seed);
+    int gangs = 1 + ownRandom.nextInt(2);
     for (int i = 0; i < gangs; i++) {
       String id = "wk-" + (300 + i);
-      double when = 3 + own.nextDouble() * 140;
+      double when = 3 + ownRandom.nextDouble() * 140;
       StringBuilder text = new StringBuilder("submit ").append(id).append(" gang");
-      text.append(own.nextBoolean() ? " team=red" : " team=blue");
-      text.append(" tasks=").append(2 + own.nextInt(4)).append(" cpus=").append(1 + own.nextInt(2));
-      text.append(" run=").append(5 + own.nextInt(50)).append(own.nextBoolean() ? " together" : "");
-      text.append(own.nextBoolean() ? " save=10" : "")
-          .append(own.nextInt(3) == 0 ? " rank=urgent" : "");
-      at(when, text.toString());
-      if (own.nextInt(4) == 0) {
-        at(when + 1 + own.nextDouble() * 30, "abort " + id);
+      text.append(ownRandom.nextBoolean() ? " team=red" : " team=blue");
+      text.append(" tasks=")
+          .append(2 + ownRandom.nextInt(4))
+          .append(" cpus=")
+          .append(1 + ownRandom.nextInt(2));
+      text.append(" run=")
+          .append(5 + ownRandom.nextInt(50))
+          .append(ownRandom.nextBoolean() ? " together" : "");
+      text.append(ownRandom.nextBoolean() ? " save=10" : "")
+          .append(ownRandom.nextInt(3) == 0 ? " rank=urgent" : "");
+      addStep(when, text.toString());
+      if (ownRandom.nextInt(4) == 0) {
+        addStep(when + 1 + ownRandom.nextDouble() * 30, "abort " + id);
       }
     }
   }
@@ -173,12 +185,12 @@
     return from + random.nextDouble() * (to - from);
   }
 
-  private void at(double when, String what) {
+  private void addStep(double when, String step) {
     times.add(new double[] {when});
-    texts.add(what);
+    texts.add(step);
   }
 
-  private void job(int number) {
+  private void addJob(int number) {
     String id = "wk-" + (100 + number);
     String team = random.nextBoolean() ? "red" : "blue";
     double when = number < 4 ? 3 : between(3, 160);
@@ -196,73 +208,73 @@
       text.append(random.nextInt(4) == 0 ? " together" : "")
           .append(random.nextInt(3) == 0 ? " rank=urgent" : "");
     }
-    at(when, text.toString());
+    addStep(when, text.toString());
     if (random.nextInt(3) == 0) {
-      at(Math.max(when + 1, between(10, 150)), "abort " + id);
+      addStep(Math.max(when + 1, between(10, 150)), "abort " + id);
     }
   }
 
-  private String someMachine() {
+  private String randomMachine() {
     return "m:" + random.nextInt(2 * machines);
   }
 
-  private void trouble(double at, double[] w) {
-    double lease = w[1];
+  private void addFault(double at, double[] periods) {
+    double lease = periods[1];
     switch (random.nextInt(16)) {
-      case 0 -> span(at, between(2, 20), "refuse leader", "admit refused");
-      case 1 -> span(at, between(5, w[2] + 15), "outage store on", "outage store off");
-      case 2 -> span(at, between(0.1, 8), "crash leader", "start all");
-      case 3 -> span(at, between(0.1, lease + 10), "crash all", "start all");
+      case 0 -> addSpan(at, between(2, 20), "refuse leader", "admit refused");
+      case 1 -> addSpan(at, between(5, periods[2] + 15), "outage store on", "outage store off");
+      case 2 -> addSpan(at, between(0.1, 8), "crash leader", "start all");
+      case 3 -> addSpan(at, between(0.1, lease + 10), "crash all", "start all");
       case 4 -> {
         for (int i = 0; i < 4; i++) {
-          span(at + 12 * i, between(0.1, 6), "crash leader", "start all");
+          addSpan(at + 12 * i, between(0.1, 6), "crash leader", "start all");
         }
       }
       case 5 -> {
-        String machine = someMachine();
-        span(at, between(1, lease + 10), "hang " + machine, "resume " + machine);
+        String machine = randomMachine();
+        addSpan(at, between(1, lease + 10), "hang " + machine, "resume " + machine);
       }
       case 6 -> {
-        String machine = someMachine();
-        span(at, between(3, lease + 20), "mute " + machine, "unmute " + machine);
+        String machine = randomMachine();
+        addSpan(at, between(3, lease + 20), "mute " + machine, "unmute " + machine);
       }
       case 7 -> {
-        String machine = someMachine();
-        span(at, between(3, lease + 20), "deafen " + machine, "hears " + machine);
+        String machine = randomMachine();
+        addSpan(at, between(3, lease + 20), "deafen " + machine, "hears " + machine);
       }
       case 8 -> {
-        String machine = someMachine();
-        span(at, between(1, lease + 20), "cut " + machine + " * hold", "heal " + machine + " *");
+        String machine = randomMachine();
+        addSpan(at, between(1, lease + 20), "cut " + machine + " * hold", "heal " + machine + " *");
       }
       case 9 ->
-          span(
+          addSpan(
               at,
               between(5, lease + 25),
               "island " + (random.nextBoolean() ? "a" : "b"),
               "mainland");
-      case 10 -> span(at, between(10, 50), "late_writes 30", "late_writes 0");
-      case 11 -> span(at, between(10, 60), "late_reports on", "late_reports off");
-      case 12 -> span(at, between(10, 40), "slow_store 1000", "slow_store 0");
+      case 10 -> addSpan(at, between(10, 50), "late_writes 30", "late_writes 0");
+      case 11 -> addSpan(at, between(10, 60), "late_reports on", "late_reports off");
+      case 12 -> addSpan(at, between(10, 40), "slow_store 1000", "slow_store 0");
       case 13 -> {
         String c = "c" + random.nextInt(3);
-        double length = between(4, w[2]);
-        span(at, length, "cut " + c + " store lose", "heal " + c + " store");
+        double length = between(4, periods[2]);
+        addSpan(at, length, "cut " + c + " store lose", "heal " + c + " store");
         for (int i = 0; i < 3; i++) {
           if (!c.equals("c" + i)) {
-            span(at, length, "cut " + c + " c" + i + " hold", "heal " + c + " c" + i);
+            addSpan(at, length, "cut " + c + " c" + i + " hold", "heal " + c + " c" + i);
           }
         }
       }
-      case 14 -> span(at, between(20, 60), "cancels_at_end on", "cancels_at_end off");
+      case 14 -> addSpan(at, between(20, 60), "cancels_at_end on", "cancels_at_end off");
       default -> {
-        span(at, between(10, 60), "odd_requests on", "odd_requests off");
-        span(at + 1, between(10, 60), "duplicates on 40", "duplicates off");
+        addSpan(at, between(10, 60), "odd_requests on", "odd_requests off");
+        addSpan(at + 1, between(10, 60), "duplicates on 40", "duplicates off");
       }
     }
   }
 
-  private void span(double from, double length, String begins, String ends) {
-    at(from, begins);
-    at(Math.min(TROUBLES_UNTIL_S, from + length), ends);
+  private void addSpan(double from, double length, String startStep, String endStep) {
+    addStep(from, startStep);
+    addStep(Math.min(FAULTS_UNTIL_S, from + length), endStep);
   }
 }
--- a/src/test/java/org/sandford/scenario/RandomFaultCombinationsTest.java
+++ b/src/test/java/org/sandford/scenario/RandomFaultCombinationsTest.java
@@ -20,31 +20,33 @@
 class RandomFaultCombinationsTest {
   private static final String SEEDS = System.getProperty("sandford.seeds", "1-40");
 
-  private static final String CLOSE_LOOKS_SEEDS =
+  private static final String FREQUENT_POLLS_SEEDS =
       System.getProperty("sandford.close-looks-seeds", "1-20");
 
   private static final String LIMIT_SEEDS = System.getProperty("sandford.limit-seeds", "1-40");
 
   @TestFactory
-  Stream<DynamicTest> meetings() {
-    return plays("seed ", SEEDS, RandomFaultCombinations::draw);
+  Stream<DynamicTest> combinations() {
+    return tests("seed ", SEEDS, RandomFaultCombinations::generate);
   }
 
   @TestFactory
-  Stream<DynamicTest> meetingsWithCloseLooks() {
-    return plays(
-        "close looks, seed ", CLOSE_LOOKS_SEEDS, RandomFaultCombinations::drawWithCloseLooks);
+  Stream<DynamicTest> combinationsWithFrequentPolls() {
+    return tests(
+        "close looks, seed ",
+        FREQUENT_POLLS_SEEDS,
+        RandomFaultCombinations::generateWithFrequentPolls);
   }
 
   @TestFactory
-  Stream<DynamicTest> meetingsAtTheLimit() {
-    return plays("at the limit, seed ", LIMIT_SEEDS, RandomFaultCombinations::drawAtTheLimit);
+  Stream<DynamicTest> combinationsAtTheTeamLimit() {
+    return tests("at the limit, seed ", LIMIT_SEEDS, RandomFaultCombinations::generateAtTeamLimit);
   }
 
-  private static Stream<DynamicTest> plays(
-      String name, String range, LongFunction<List<String>> draw) {
+  private static Stream<DynamicTest> tests(
+      String name, String range, LongFunction<List<String>> generator) {
     return seeds(range)
-        .mapToObj(seed -> dynamicTest(name + seed, () -> play(seed, draw.apply(seed))));
+        .mapToObj(seed -> dynamicTest(name + seed, () -> play(seed, generator.apply(seed))));
   }
 
   private static LongStream seeds(String range) {
@@ -54,8 +56,8 @@
 
   private static void play(long seed, List<String> lines) {
     Scenario scenario = new Scenario("seed " + seed, lines);
-    List<String> wrong = scenario.play();
-    assertEquals(List.of(), wrong, () -> String.join("\n", lines));
-    assertTrue(scenario.rules.started > 0, "no task was started");
+    List<String> failures = scenario.play();
+    assertEquals(List.of(), failures, () -> String.join("\n", lines));
+    assertTrue(scenario.rules.startCount > 0, "no task was started");
   }
 }
--- a/src/test/java/org/sandford/scenario/RulesTest.java
+++ b/src/test/java/org/sandford/scenario/RulesTest.java
@@ -19,7 +19,7 @@
   private UserJob job(String id) {
     UserJob job = new UserJob();
     job.id = id;
-    job.since = simulation.now();
+    job.submittedAt = simulation.now();
     scenario.submitted.put(id, job);
     return job;
   }
@@ -30,39 +30,41 @@
     return rented.worker;
   }
 
-  private FakeWorker.Held runs(FakeWorker on, UserJob job, int task) {
-    FakeWorker.Held held = new FakeWorker.Held(job.id + "/" + task, 1, job);
-    on.held.put(held.piece + "@1", held);
-    rules.starts(on, held);
-    held.status = "running";
-    return held;
+  private FakeWorker.Held startTask(FakeWorker worker, UserJob job, int number) {
+    FakeWorker.Held task = new FakeWorker.Held(job.id + "/" + number, 1, job);
+    worker.tasks.put(task.piece + "@1", task);
+    rules.checkStart(worker, task);
+    task.status = "running";
+    return task;
   }
 
-  private void answered(String id, UserJob job, long askedAt, int status, String state) {
-    rules.answered(id, job, "c0", askedAt, status, state);
+  private void answer(String id, UserJob job, long askedAt, int status, String state) {
+    rules.checkAnswer(id, job, "c0", askedAt, status, state);
   }
 
-  private void broken(String... wanted) {
-    List<String> got =
-        simulation.broken.stream().map(text -> text.replaceAll("^\\S+ s (\\S+):.*", "$1")).toList();
-    assertEquals(List.of(wanted), got, simulation.broken::toString);
+  private void assertViolations(String... expected) {
+    List<String> actual =
+        simulation.violations.stream()
+            .map(text -> text.replaceAll("^\\S+ s (\\S+):.*", "$1"))
+            .toList();
+    assertEquals(List.of(expected), actual, simulation.violations::toString);
   }
 
   @Test
-  void aQuietPairBreaksNothing() {
+  void twoTasksOfOneJobBreakNoRule() {
     UserJob job = job("wk-1");
     job.tasks = 2;
-    runs(machine("a", false), job, 0);
-    runs(machine("b", false), job, 1);
-    broken();
+    startTask(machine("a", false), job, 0);
+    startTask(machine("b", false), job, 1);
+    assertViolations();
   }
 
   @Test
   void ranTwice() {
     UserJob job = job("wk-1");
-    runs(machine("a", false), job, 0);
-    runs(machine("b", false), job, 0);
-    broken("ran_twice");
+    startTask(machine("a", false), job, 0);
+    startTask(machine("b", false), job, 0);
+    assertViolations("ran_twice");
   }
 
   @Test
@@ -70,9 +72,9 @@
     UserJob job = job("wk-1");
     job.cpus = 9;
     job.tasks = 2;
-    runs(machine("a", false), job, 0);
-    runs(machine("a", false), job, 1);
-    broken("quota");
+    startTask(machine("a", false), job, 0);
+    startTask(machine("a", false), job, 1);
+    assertViolations("quota");
   }
 
   @Test
@@ -80,18 +82,18 @@
     UserJob sameZone = job("wk-1");
     sameZone.sameZone = true;
     sameZone.tasks = 2;
-    runs(machine("a", false), sameZone, 0);
-    runs(machine("b", false), sameZone, 1);
+    startTask(machine("a", false), sameZone, 0);
+    startTask(machine("b", false), sameZone, 1);
     UserJob spreadAcrossZones = job("wk-2");
     spreadAcrossZones.spreadAcrossZones = true;
     spreadAcrossZones.tasks = 2;
-    runs(machine("a", false), spreadAcrossZones, 0);
-    runs(machine("a", false), spreadAcrossZones, 1);
-    runs(machine("a", true), job("wk-3"), 0);
-    UserJob bound = job("wk-4");
-    bound.zone = "b";
-    runs(machine("a", false), bound, 0);
-    broken("wrong_place", "wrong_place", "wrong_place", "wrong_place");
+    startTask(machine("a", false), spreadAcrossZones, 0);
+    startTask(machine("a", false), spreadAcrossZones, 1);
+    startTask(machine("a", true), job("wk-3"), 0);
+    UserJob zoneBound = job("wk-4");
+    zoneBound.zone = "b";
+    startTask(machine("a", false), zoneBound, 0);
+    assertViolations("wrong_place", "wrong_place", "wrong_place", "wrong_place");
   }
 
   @Test
@@ -101,12 +103,12 @@
     gang.tasks = 2;
     FakeWorker machine = machine("a", false);
     FakeWorker.Held first = new FakeWorker.Held("wk-1/0", 1, gang);
-    FakeWorker.Held again = new FakeWorker.Held("wk-1/0", 1, gang);
+    FakeWorker.Held duplicate = new FakeWorker.Held("wk-1/0", 1, gang);
     FakeWorker.Held second = new FakeWorker.Held("wk-1/1", 1, gang);
-    rules.gangRuns(gang, Map.of(first, machine, second, machine));
-    broken();
-    rules.gangRuns(gang, Map.of(first, machine, again, machine));
-    broken("gang");
+    rules.checkGangStart(gang, Map.of(first, machine, second, machine));
+    assertViolations();
+    rules.checkGangStart(gang, Map.of(first, machine, duplicate, machine));
+    assertViolations("gang");
   }
 
   @Test
@@ -117,28 +119,29 @@
     gang.gang = true;
     gang.cpus = 2;
     gang.tasks = 4;
-    assertTrue(scenario.fitsSomewhere(gang), "one machine holds all");
+    assertTrue(scenario.hasCapacityFor(gang), "one machine holds all");
     gang.sameZone = true;
     gang.tasks = 5;
-    assertFalse(scenario.fitsSomewhere(gang), "one zone does not hold all");
+    assertFalse(scenario.hasCapacityFor(gang), "one zone does not hold all");
     gang.sameZone = false;
-    assertTrue(scenario.fitsSomewhere(gang), "two zones do");
+    assertTrue(scenario.hasCapacityFor(gang), "two zones do");
     gang.tasks = 9;
-    assertFalse(scenario.fitsSomewhere(gang), "its team's limit does not allow all");
+    assertFalse(scenario.hasCapacityFor(gang), "its team's limit does not allow all");
   }
 
   @Test
   void ranCancelled() {
     UserJob job = job("wk-1");
     FakeWorker machine = machine("a", false);
-    runs(machine, job, 0);
+    startTask(machine, job, 0);
     // Hanging keeps the lease from ending it.
     machine.hang(true);
-    job.abortedAt = simulation.now();
+    job.cancelConfirmedAt = simulation.now();
     simulation.runUntil(scenario.script.cancelS - 1);
-    broken();
+    assertViolations();
     simulation.runUntil(scenario.script.cancelS + 0.5);
-    assertTrue(simulation.broken.get(0).contains("ran_cancelled"), simulation.broken::toString);
+    assertTrue(
+        simulation.violations.get(0).contains("ran_cancelled"), simulation.violations::toString);
   }
 
   @Test
@@ -146,130 +149,130 @@
     UserJob job = job("wk-1");
     var orders = Json.array();
     orders.addObject().put("verb", "start").put("piece", "wk-1/0").put("try", 1);
-    job.abortedAt = simulation.now();
-    rules.ordered(orders);
-    broken();
+    job.cancelConfirmedAt = simulation.now();
+    rules.checkOrders(orders);
+    assertViolations();
     simulation.runUntil(1);
-    rules.ordered(orders);
-    broken("ran_cancelled");
+    rules.checkOrders(orders);
+    assertViolations("ran_cancelled");
   }
 
   @Test
   void forgotten() {
     UserJob job = job("wk-1");
-    answered("wk-1", job, 0, 201, "queued");
-    answered("wk-1", job, simulation.now() + 1, 404, "");
-    answered("wk-1", job, 0, 422, "");
-    broken("forgotten", "forgotten");
+    answer("wk-1", job, 0, 201, "queued");
+    answer("wk-1", job, simulation.now() + 1, 404, "");
+    answer("wk-1", job, 0, 422, "");
+    assertViolations("forgotten", "forgotten");
   }
 
   @Test
-  void aQuestionFromBeforeTheAcceptanceMayMissTheJob() {
+  void aPollSentBeforeTheAcceptanceMayMissTheJob() {
     UserJob job = job("wk-1");
     long before = simulation.now();
-    answered("wk-1", job, before, 201, "queued");
-    answered("wk-1", job, before, 404, "");
-    broken();
-    answered("wk-1", job, before + 1, 404, "");
-    broken("forgotten");
+    answer("wk-1", job, before, 201, "queued");
+    answer("wk-1", job, before, 404, "");
+    assertViolations();
+    answer("wk-1", job, before + 1, 404, "");
+    assertViolations("forgotten");
   }
 
   @Test
-  void noQuestionIsAnsweredForTooLong() {
+  void forgottenWhenNoPollIsAnswered() {
     UserJob job = job("wk-1");
-    rules.polled(job, 200, 0);
+    rules.checkPoll(job, 200, 0);
     simulation.runUntil(74);
-    rules.polled(job, 503, 0);
-    broken();
+    rules.checkPoll(job, 503, 0);
+    assertViolations();
     simulation.runUntil(76);
-    rules.polled(job, 503, simulation.now());
-    broken();
-    rules.polled(job, 503, 0);
-    broken("forgotten");
+    rules.checkPoll(job, 503, simulation.now());
+    assertViolations();
+    rules.checkPoll(job, 503, 0);
+    assertViolations("forgotten");
   }
 
   @Test
   void invented() {
-    answered("wk-1", null, 0, 200, "queued");
-    broken("invented");
+    answer("wk-1", null, 0, 200, "queued");
+    assertViolations("invented");
   }
 
   @Test
   void notDone() {
     UserJob job = job("wk-1");
-    answered("wk-1", job, 0, 200, "done");
-    broken("not_done");
+    answer("wk-1", job, 0, 200, "done");
+    assertViolations("not_done");
   }
 
   @Test
   void wentBack() {
     UserJob job = job("wk-1");
-    job.finished.add("wk-1/0");
+    job.finishedTasks.add("wk-1/0");
     long overlapping = simulation.now();
-    answered("wk-1", job, overlapping, 200, "done");
-    answered("wk-1", job, overlapping, 200, "running");
-    broken();
-    answered("wk-1", job, simulation.now() + 1, 200, "running");
-    answered("wk-1", job, overlapping, 200, "aborted");
+    answer("wk-1", job, overlapping, 200, "done");
+    answer("wk-1", job, overlapping, 200, "running");
+    assertViolations();
+    answer("wk-1", job, simulation.now() + 1, 200, "running");
+    answer("wk-1", job, overlapping, 200, "aborted");
     // The last one is also called cancelled, which nobody asked for.
-    broken("went_back", "went_back", "went_back");
+    assertViolations("went_back", "went_back", "went_back");
   }
 
   @Test
-  void leftWaitingBesideRoom() {
+  void leftWaitingDespiteCapacity() {
     UserJob job = job("wk-1");
-    answered("wk-1", job, 0, 201, "queued");
+    answer("wk-1", job, 0, 201, "queued");
     machine("a", false);
     simulation.runUntil(89);
-    broken();
+    assertViolations();
     simulation.runUntil(92);
-    broken("left_waiting");
+    assertViolations("left_waiting");
   }
 
   @Test
-  void withoutRoomItMayWait() {
+  void aJobMayWaitWithoutCapacity() {
     UserJob job = job("wk-1");
     job.zone = "b";
-    answered("wk-1", job, 0, 201, "queued");
+    answer("wk-1", job, 0, 201, "queued");
     machine("a", false);
     simulation.runUntil(200);
-    broken();
+    assertViolations();
   }
 
   @Test
-  void halfOfEachClassAndTeamIsServed() {
+  void halfOfEachClassAndTeamMustStart() {
     for (int i = 0; i < 3; i++) {
       UserJob job = job("wk-" + i);
       job.jobClass = i == 0 ? "rare" : "usual";
       job.team = i == 0 ? "blue" : "red";
-      job.beganAt = i == 0 ? -1 : simulation.now();
-      answered(job.id, job, 0, 201, "queued");
+      job.firstStartAt = i == 0 ? -1 : simulation.now();
+      answer(job.id, job, 0, 201, "queued");
     }
     simulation.runUntil(100);
-    rules.served(60);
-    broken("unserved", "unserved", "unserved");
+    rules.checkServed(60);
+    assertViolations("unserved", "unserved", "unserved");
   }
 
   @Test
-  void theLargestBeginsWithinFourMinutes() {
+  void theLargestJobsMustStartWithinFourMinutes() {
     UserJob large = job("wk-1");
     large.tasks = 10;
-    answered("wk-1", large, 0, 201, "queued");
+    answer("wk-1", large, 0, 201, "queued");
     for (int i = 2; i < 5; i++) {
       UserJob small = job("wk-" + i);
-      small.beganAt = simulation.now();
-      answered(small.id, small, 0, 201, "queued");
+      small.firstStartAt = simulation.now();
+      answer(small.id, small, 0, 201, "queued");
     }
     simulation.runUntil(250);
-    rules.served(60);
-    broken("unserved", "unserved");
+    rules.checkServed(60);
+    assertViolations("unserved", "unserved");
   }
 
   @Test
-  void whatCanNeverRunIsNotAccepted() {
-    rules.answeredOdd("a job", 201, 422);
-    rules.answeredOdd("a job", 400, 422);
-    rules.answeredOdd("a job", 503, 422);
-    broken("accepted", "accepted");
+  void invalidSubmissionsAreNotAccepted() {
+    rules.checkInvalidSubmission("a job", 201, 422);
+    rules.checkInvalidSubmission("a job", 400, 422);
+    rules.checkInvalidSubmission("a job", 503, 422);
+    assertViolations("accepted", "accepted");
   }
 }
--- a/src/test/java/org/sandford/scenario/Scenario.java
+++ b/src/test/java/org/sandford/scenario/Scenario.java
@@ -26,39 +26,39 @@
   final List<String> zones = new ArrayList<>(List.of("a", "b"));
 
   /** CPUs that each team may use at once. */
-  final Map<String, Double> teamMax = new LinkedHashMap<>();
+  final Map<String, Double> teamMaxCpus = new LinkedHashMap<>();
 
   private final SimulatedControllers controllers;
   private final ScenarioUsers users;
   private final ScenarioSteps steps;
   private final ScenarioExpectations expectations;
-  private final TroubleWatch troubles;
+  private final TroubleWatch faultMonitor;
   private final FreeCapacity freeCapacity;
   private final Map<String, FakeWorker> workers = new HashMap<>();
   private final Map<GangAttempt, FakeGang> gangs = new HashMap<>();
 
   Scenario(String name, List<String> lines) {
-    this(name, lines, ScenarioScript.workers(lines).get(0));
+    this(name, lines, ScenarioScript.workerPeriods(lines).get(0));
   }
 
   Scenario(String name, List<String> lines, double[] workerPeriods) {
     script = new ScenarioScript(name, lines, workerPeriods);
-    script.teams.values().forEach(team -> teamMax.put(team.name(), team.cpusMax()));
+    script.teams.values().forEach(team -> teamMaxCpus.put(team.name(), team.cpusMax()));
     simulation = new Simulation(script.seed);
     FakeStore store = new FakeStore(simulation, script.valueBytes, script.txnOps);
     cloud = new FakeCloud(simulation, this);
     rules = new Rules(simulation, this);
     servers.put("store", store);
     servers.put("cloud", cloud);
-    freeCapacity = new FreeCapacity(cloud, teamMax);
+    freeCapacity = new FreeCapacity(cloud, teamMaxCpus);
     controllers = new SimulatedControllers(simulation, script, store, servers, zones);
-    troubles = new TroubleWatch(simulation, controllers, store, cloud);
-    users = new ScenarioUsers(simulation, servers, submitted, controllers, rules, troubles);
+    faultMonitor = new TroubleWatch(simulation, controllers, store, cloud);
+    users = new ScenarioUsers(simulation, servers, submitted, controllers, rules, faultMonitor);
     ScenarioHosts hosts =
         new ScenarioHosts(simulation, store, cloud, controllers, workers, this::absentWorker);
     steps = new ScenarioSteps(simulation, script, store, cloud, controllers, hosts, users);
     expectations = new ScenarioExpectations(cloud, store, rules, controllers, submitted);
-    steps.register("count", step -> expectations.beginCount());
+    steps.register("count", step -> expectations.resetCounts());
     steps.register("expect", expectations::check);
   }
 
@@ -70,19 +70,19 @@
       }
     }
     controllers.labels().forEach(controllers::start);
-    troubles.start();
+    faultMonitor.start();
     for (ScenarioScript.Step step : script.steps) {
       simulation.runUntil(step.at());
-      steps.carryOut(step);
+      steps.execute(step);
     }
-    simulation.runUntil(script.until);
-    rules.served(SERVED_GRACE_S);
-    List<String> wrong = new ArrayList<>(simulation.broken);
-    wrong.addAll(expectations.failures());
-    return wrong;
+    simulation.runUntil(script.endS);
+    rules.checkServed(SERVED_GRACE_S);
+    List<String> failures = new ArrayList<>(simulation.violations);
+    failures.addAll(expectations.failures());
+    return failures;
   }
 
-  FakeWorker boot(FakeCloud.Rented machine) {
+  FakeWorker bootWorker(FakeCloud.Rented machine) {
     FakeWorker worker = new FakeWorker(simulation, this, machine);
     servers.put(machine.name, worker);
     workers.put(machine.name, worker);
@@ -95,7 +95,7 @@
   }
 
   /** The gang that the task belongs to by its attempt. */
-  FakeGang gang(FakeWorker.Held task) {
+  FakeGang gangOf(FakeWorker.Held task) {
     return gangs.computeIfAbsent(
         new GangAttempt(task.job.id, task.attempt),
         attempt -> new FakeGang(simulation, this, task.job));
@@ -105,15 +105,15 @@
     return simulation.random.nextInt(bound);
   }
 
-  void lastTaskDone(UserJob job) {
-    users.lastTaskDone(job);
+  void onLastTaskDone(UserJob job) {
+    users.onLastTaskDone(job);
   }
 
-  long lastTrouble() {
-    return troubles.lastSeenTrouble();
+  long lastFaultAt() {
+    return faultMonitor.lastFaultAt();
   }
 
-  boolean fitsSomewhere(UserJob job) {
-    return freeCapacity.fitsSomewhere(job);
+  boolean hasCapacityFor(UserJob job) {
+    return freeCapacity.hasCapacityFor(job);
   }
 }
--- a/src/test/java/org/sandford/scenario/ScenarioExpectations.java
+++ b/src/test/java/org/sandford/scenario/ScenarioExpectations.java
@@ -19,9 +19,9 @@
   private final Map<String, UserJob> submitted;
   private final List<String> failures = new ArrayList<>();
   private final Map<String, Function<ScenarioScript.Step, Object>> values = new HashMap<>();
-  private long looksBefore;
-  private long viewsBefore;
-  private long mapWritesBefore;
+  private long snapshotReadsBefore;
+  private long snapshotsReceivedBefore;
+  private long assignmentMapWritesBefore;
 
   ScenarioExpectations(
       FakeCloud cloud,
@@ -43,25 +43,27 @@
   }
 
   /** The counters of work are counted from here on. */
-  void beginCount() {
-    looksBefore = controllers.sum(MachineSnapshots::readCount);
-    viewsBefore = controllers.sum(MachineSnapshots::receivedCount);
-    mapWritesBefore = store.mapWrites;
+  void resetCounts() {
+    snapshotReadsBefore = controllers.sum(MachineSnapshots::readCount);
+    snapshotsReceivedBefore = controllers.sum(MachineSnapshots::receivedCount);
+    assignmentMapWritesBefore = store.assignmentMapWrites;
   }
 
   private void registerValues() {
-    values.put("told", step -> rules.told(step.word(2)));
-    values.put("answer", step -> job(step).status);
+    values.put("told", step -> rules.reportedStatus(step.word(2)));
+    values.put("answer", step -> job(step).submissionStatus);
     values.put("running", step -> runningTasks(step.word(2)));
-    values.put("started", step -> rules.started);
+    values.put("started", step -> rules.startCount);
     values.put("machines", step -> cloud.machines.size());
     // All that were ever rented.
-    values.put("rented", step -> cloud.rented());
+    values.put("rented", step -> cloud.rentedCount());
     // Work of all controllers since the last "count".
-    values.put("looks", step -> controllers.sum(MachineSnapshots::readCount) - looksBefore);
-    values.put("views", step -> controllers.sum(MachineSnapshots::receivedCount) - viewsBefore);
-    values.put("map_writes", step -> store.mapWrites - mapWritesBefore);
-    values.put("began", step -> secondsUntilBegun(job(step)));
+    values.put("looks", step -> controllers.sum(MachineSnapshots::readCount) - snapshotReadsBefore);
+    values.put(
+        "views",
+        step -> controllers.sum(MachineSnapshots::receivedCount) - snapshotsReceivedBefore);
+    values.put("map_writes", step -> store.assignmentMapWrites - assignmentMapWritesBefore);
+    values.put("began", step -> secondsUntilStarted(job(step)));
     values.put("gang_runs", step -> job(step).gangRuns);
     values.put("orderly_stops", step -> job(step).orderlyStops);
     values.put("lost_with_lease", step -> rules.lostWithLease);
@@ -71,38 +73,40 @@
   void check(ScenarioScript.Step step) {
     Function<ScenarioScript.Step, Object> value = values.get(step.word(1));
     if (value == null) {
-      throw step.notUnderstood();
+      throw step.syntaxError();
     }
-    String got = String.valueOf(value.apply(step));
-    String wanted = step.word(step.words().size() - 1);
-    if (!meets(got, wanted)) {
-      failures.add(step.file() + ":" + step.line() + ": " + step.text() + ": got " + got);
+    String actual = String.valueOf(value.apply(step));
+    String expected = step.word(step.words().size() - 1);
+    if (!matches(actual, expected)) {
+      failures.add(step.file() + ":" + step.line() + ": " + step.text() + ": got " + actual);
     }
   }
 
-  private static boolean meets(String got, String wanted) {
-    if (wanted.startsWith(">=")) {
-      return Integer.parseInt(got) >= Integer.parseInt(wanted.substring(2));
+  private static boolean matches(String actual, String expected) {
+    if (expected.startsWith(">=")) {
+      return Integer.parseInt(actual) >= Integer.parseInt(expected.substring(2));
     }
-    if (wanted.startsWith("<=")) {
-      return Integer.parseInt(got) <= Integer.parseInt(wanted.substring(2));
+    if (expected.startsWith("<=")) {
+      return Integer.parseInt(actual) <= Integer.parseInt(expected.substring(2));
     }
-    return got.equals(wanted);
+    return actual.equals(expected);
   }
 
   private UserJob job(ScenarioScript.Step step) {
     return submitted.get(step.word(2));
   }
 
-  private static long secondsUntilBegun(UserJob job) {
-    return job.beganAt < 0 ? Integer.MAX_VALUE : (job.beganAt - job.since) / 1_000_000_000L;
+  private static long secondsUntilStarted(UserJob job) {
+    return job.firstStartAt < 0
+        ? Integer.MAX_VALUE
+        : (job.firstStartAt - job.submittedAt) / 1_000_000_000L;
   }
 
   private long runningTasks(String id) {
     return cloud.machines.values().stream()
         .filter(machine -> machine.worker != null)
-        .flatMap(machine -> machine.worker.held.values().stream())
-        .filter(task -> task.on() && task.job.id.equals(id))
+        .flatMap(machine -> machine.worker.tasks.values().stream())
+        .filter(task -> task.isActive() && task.job.id.equals(id))
         .count();
   }
 }
--- a/src/test/java/org/sandford/scenario/ScenarioHosts.java
+++ b/src/test/java/org/sandford/scenario/ScenarioHosts.java
@@ -12,7 +12,7 @@
 /** Resolves the names that steps use for controllers, machines and their workers. */
 final class ScenarioHosts {
   /** Prefix of the keys that hold the machines' partitions of the assignment map. */
-  private static final String MAP_PARTITION = "c/machines/";
+  private static final String MACHINES_PARTITION_PREFIX = "c/machines/";
 
   private final Simulation simulation;
   private final FakeStore store;
@@ -20,7 +20,7 @@
   private final SimulatedControllers controllers;
   private final Map<String, FakeWorker> workers;
   private final Function<String, FakeWorker> absentWorker;
-  private final Map<String, String> named = new HashMap<>();
+  private final Map<String, String> machinesByWord = new HashMap<>();
 
   /** Takes {@code absentWorker} to make a worker for a machine that no longer exists. */
   ScenarioHosts(
@@ -39,8 +39,8 @@
   }
 
   /** The controllers and machines of a zone. */
-  Set<String> island(String zone) {
-    Set<String> hosts = new HashSet<>(inZone(zone));
+  Set<String> hostsInZone(String zone) {
+    Set<String> hosts = new HashSet<>(machinesInZone(zone));
     List<String> labels = controllers.labels();
     for (int i = 0; i < labels.size(); i++) {
       if (controllers.zoneOf(i).equals(zone)) {
@@ -67,7 +67,7 @@
       return word;
     }
     String label = id.replaceAll("#.*", "");
-    return controllers.isRunning(label) ? label : controllers.any();
+    return controllers.isRunning(label) ? label : controllers.anyRunning();
   }
 
   /** The life that owns the team by the assignment map in the store, or an empty text. */
@@ -79,10 +79,13 @@
   /** The life that owns the machine by the assignment map in the store, or an empty text. */
   private String machineOwner(String machine) {
     String owner = "";
-    for (int part = 0; store.has(MAP_PARTITION + part); part++) {
-      JsonNode record = store.value(MAP_PARTITION + part);
-      JsonNode place = record.path("m").path(machine);
-      owner = place.isMissingNode() ? owner : record.path("o").path(place.path(0).asInt()).asText();
+    for (int partition = 0; store.has(MACHINES_PARTITION_PREFIX + partition); partition++) {
+      JsonNode record = store.value(MACHINES_PARTITION_PREFIX + partition);
+      JsonNode assignment = record.path("m").path(machine);
+      owner =
+          assignment.isMissingNode()
+              ? owner
+              : record.path("o").path(assignment.path(0).asInt()).asText();
     }
     return owner;
   }
@@ -92,14 +95,14 @@
   }
 
   /** The machines of a zone, which no controller is in that could still reach them. */
-  List<String> inZone(String zone) {
+  List<String> machinesInZone(String zone) {
     return cloud.machines.values().stream()
         .filter(m -> m.zone.equals(zone))
         .map(m -> m.name)
         .toList();
   }
 
-  List<String> each(String label) {
+  List<String> controllers(String label) {
     return label.equals("all") ? controllers.labels() : List.of(controller(label));
   }
 
@@ -109,12 +112,12 @@
    */
   String host(String word) {
     if (word.startsWith("m:")) {
-      return named.computeIfAbsent(
+      return machinesByWord.computeIfAbsent(
           word,
           w -> {
             List<String> up =
                 cloud.machines.values().stream()
-                    .filter(m -> m.worker != null && !named.containsValue(m.name))
+                    .filter(m -> m.worker != null && !machinesByWord.containsValue(m.name))
                     .map(m -> m.name)
                     .toList();
             return up.isEmpty() ? "nowhere" : up.get(Integer.parseInt(w.substring(2)) % up.size());
@@ -125,8 +128,8 @@
     }
     for (FakeCloud.Rented m : cloud.machines.values()) {
       if (m.worker != null
-          && m.worker.held.values().stream()
-              .anyMatch(t -> !t.ended() && t.piece.equals(word.substring(3)))) {
+          && m.worker.tasks.values().stream()
+              .anyMatch(t -> !t.isEnded() && t.piece.equals(word.substring(3)))) {
         return m.name;
       }
     }
@@ -142,9 +145,9 @@
     return workers.computeIfAbsent(
         host(word),
         name -> {
-          FakeWorker none = absentWorker.apply(name);
-          none.destroy();
-          return none;
+          FakeWorker worker = absentWorker.apply(name);
+          worker.destroy();
+          return worker;
         });
   }
 }
--- a/src/test/java/org/sandford/scenario/ScenarioScript.java
+++ b/src/test/java/org/sandford/scenario/ScenarioScript.java
@@ -23,25 +23,25 @@
       return words.get(index);
     }
 
-    boolean has(int index) {
+    boolean hasWord(int index) {
       return words.size() > index;
     }
 
-    int number(int index) {
+    int intAt(int index) {
       return Integer.parseInt(words.get(index));
     }
 
-    double amount(int index) {
+    double doubleAt(int index) {
       return Double.parseDouble(words.get(index));
     }
 
     /** Whether the word is {@code on}. */
-    boolean on(int index) {
+    boolean isOn(int index) {
       return words.get(index).equals("on");
     }
 
-    IllegalArgumentException notUnderstood() {
-      return ScenarioScript.notUnderstood(file, line, text);
+    IllegalArgumentException syntaxError() {
+      return ScenarioScript.syntaxError(file, line, text);
     }
   }
 
@@ -73,19 +73,19 @@
   int nextTxnOps;
 
   /** Whether controllers behave as the production version does until they are upgraded. */
-  boolean beginsWithProduction;
+  boolean startsWithProductionVersion;
 
   double gangWaitS = 30;
   double gangPeerS = 8;
-  double until = 60;
+  double endS = 60;
 
   private final Map<String, Consumer<Step>> settings = new HashMap<>();
 
   /** Parses with the periods of heartbeats, leases and cancellations given as {@code workers}. */
-  ScenarioScript(String name, List<String> lines, double[] workers) {
-    reportS = workers[0];
-    leaseS = workers[1];
-    cancelS = workers[2];
+  ScenarioScript(String name, List<String> lines, double[] workerPeriods) {
+    reportS = workerPeriods[0];
+    leaseS = workerPeriods[1];
+    cancelS = workerPeriods[2];
     registerSettings();
     for (int i = 0; i < lines.size(); i++) {
       String text = lines.get(i).replaceAll("#.*", "").trim();
@@ -102,7 +102,7 @@
    * The periods of heartbeats, leases and cancellations that a scenario file asks for, or the usual
    * ones.
    */
-  static List<double[]> workers(List<String> lines) {
+  static List<double[]> workerPeriods(List<String> lines) {
     List<double[]> out = new ArrayList<>();
     for (String line : lines) {
       String[] words = line.trim().split("\\s+", -1);
@@ -120,50 +120,51 @@
 
   private void registerSettings() {
     settings.put("seed", line -> seed = Long.parseLong(line.word(1)));
-    settings.put("controllers", line -> controllers = line.number(1));
-    settings.put("pool", line -> poolSize = line.number(1));
+    settings.put("controllers", line -> controllers = line.intAt(1));
+    settings.put("pool", line -> poolSize = line.intAt(1));
     settings.put("workers", line -> {}); // Read by workers().
-    settings.put("machines", line -> machinesAtStart = line.number(1));
-    settings.put("value_bytes", line -> valueBytes = line.number(1));
+    settings.put("machines", line -> machinesAtStart = line.intAt(1));
+    settings.put("value_bytes", line -> valueBytes = line.intAt(1));
     settings.put("next_limits", this::readNextLimits);
-    settings.put("begins_old", line -> beginsWithProduction = true);
-    settings.put("txn_ops", line -> txnOps = line.number(1));
-    settings.put("write_rps", line -> writeRps = line.amount(1));
+    settings.put("begins_old", line -> startsWithProductionVersion = true);
+    settings.put("txn_ops", line -> txnOps = line.intAt(1));
+    settings.put("write_rps", line -> writeRps = line.doubleAt(1));
     settings.put("gang_times", this::readGangTimes);
-    settings.put("until", line -> until = line.amount(1));
+    settings.put("until", line -> endS = line.doubleAt(1));
     settings.put("team", this::readTeam);
   }
 
-  private void parse(String file, int number, String text) {
+  private void parse(String file, int lineNumber, String text) {
     List<String> words = List.of(text.split("\\s+", -1));
     if (words.get(0).equals("at")) {
       double at = Double.parseDouble(words.get(1));
-      steps.add(new Step(at, file, number, text, words.subList(2, words.size())));
+      steps.add(new Step(at, file, lineNumber, text, words.subList(2, words.size())));
       return;
     }
     Consumer<Step> setting = settings.get(words.get(0));
     if (setting == null) {
-      throw notUnderstood(file, number, text);
+      throw syntaxError(file, lineNumber, text);
     }
-    setting.accept(new Step(0, file, number, text, words));
+    setting.accept(new Step(0, file, lineNumber, text, words));
   }
 
   private void readNextLimits(Step line) {
-    nextValueBytes = line.number(1);
-    nextTxnOps = line.number(2);
+    nextValueBytes = line.intAt(1);
+    nextTxnOps = line.intAt(2);
   }
 
   private void readGangTimes(Step line) {
-    gangWaitS = line.amount(1);
-    gangPeerS = line.amount(2);
+    gangWaitS = line.doubleAt(1);
+    gangPeerS = line.doubleAt(2);
   }
 
   private void readTeam(Step line) {
-    Settings.Team team = Settings.Team.ofFacts(line.word(1), line.amount(2), line.amount(3), 0, 0);
+    Settings.Team team =
+        Settings.Team.ofFacts(line.word(1), line.doubleAt(2), line.doubleAt(3), 0, 0);
     teams.put(team.name(), team);
   }
 
-  private static IllegalArgumentException notUnderstood(String file, int line, String text) {
+  private static IllegalArgumentException syntaxError(String file, int line, String text) {
     return new IllegalArgumentException(file + ":" + line + ": not understood: " + text);
   }
 }
--- a/src/test/java/org/sandford/scenario/ScenarioSteps.java
+++ b/src/test/java/org/sandford/scenario/ScenarioSteps.java
@@ -16,8 +16,8 @@
   private final ScenarioHosts hosts;
   private final ScenarioUsers users;
   private final Map<String, Consumer<ScenarioScript.Step>> steps = new HashMap<>();
-  private FakeWorker hung;
-  private String refusedNow = "";
+  private FakeWorker lastHung;
+  private String lastRefused = "";
 
   ScenarioSteps(
       Simulation simulation,
@@ -46,10 +46,10 @@
     steps.put(verb, step);
   }
 
-  void carryOut(ScenarioScript.Step step) {
+  void execute(ScenarioScript.Step step) {
     Consumer<ScenarioScript.Step> action = steps.get(step.verb());
     if (action == null) {
-      throw step.notUnderstood();
+      throw step.syntaxError();
     }
     action.accept(step);
   }
@@ -57,121 +57,122 @@
   private void registerUsers() {
     register("submit", step -> users.submit(step.word(1), options(step.words(), 2)));
     register("resubmit", step -> users.resubmit(step.word(1)));
-    register("abort", step -> users.abort(step.word(1), controllerOrAny(step, 2)));
-    register("ask", step -> users.poll(step.word(1), controllers.any()));
-    register("cancels_at_end", step -> users.cancelAtEnd(step.on(1)));
-    register("close_looks", step -> users.pollClosely(step.on(1)));
-    register("odd_requests", step -> users.makeOddRequests(step.on(1)));
+    register("abort", step -> users.cancel(step.word(1), controllerOrAny(step, 2)));
+    register("ask", step -> users.poll(step.word(1), controllers.anyRunning()));
+    register("cancels_at_end", step -> users.setCancelAtEnd(step.isOn(1)));
+    register("close_looks", step -> users.setFrequentPolling(step.isOn(1)));
+    register("odd_requests", step -> users.setInvalidRequests(step.isOn(1)));
   }
 
   private void registerControllers() {
-    register("crash", step -> hosts.each(step.word(1)).forEach(controllers::crash));
+    register("crash", step -> hosts.controllers(step.word(1)).forEach(controllers::crash));
     register(
         "start",
         step ->
-            hosts.each(step.word(1)).stream()
+            hosts.controllers(step.word(1)).stream()
                 .filter(label -> !controllers.isRunning(label))
                 .forEach(controllers::start));
-    register("freeze", step -> controllers.freeze(step.word(1), step.amount(2)));
+    register("freeze", step -> controllers.freeze(step.word(1), step.doubleAt(2)));
     register("upgrade", step -> controllers.upgrade());
   }
 
   private void registerNetwork() {
     register(
         "cut",
-        step -> simulation.cut(hosts.host(step.word(1)), hosts.host(step.word(2)), cutOf(step)));
+        step -> simulation.cut(hosts.host(step.word(1)), hosts.host(step.word(2)), cutKind(step)));
     register("heal", step -> simulation.heal(hosts.host(step.word(1)), hosts.host(step.word(2))));
     register(
         "cut-zone",
         step ->
             hosts
-                .inZone(step.word(1))
+                .machinesInZone(step.word(1))
                 .forEach(host -> simulation.cut(host, "*", Simulation.Cut.HOLD)));
     register(
         "heal-zone",
-        step -> hosts.inZone(step.word(1)).forEach(host -> simulation.heal(host, "*")));
+        step -> hosts.machinesInZone(step.word(1)).forEach(host -> simulation.heal(host, "*")));
     register(
         "deafen", step -> simulation.cutOneWay("*", hosts.host(step.word(1)), Simulation.Cut.LOSE));
     register("hears", step -> simulation.heal("*", hosts.host(step.word(1))));
-    register("island", step -> simulation.cutOff(hosts.island(step.word(1))));
-    register("mainland", step -> simulation.cutOff(Set.of()));
-    register("slow_links", step -> simulation.slowMs = step.number(1));
-    register("late_reports", step -> simulation.lateReports = step.on(1));
+    register("island", step -> simulation.isolate(hosts.hostsInZone(step.word(1))));
+    register("mainland", step -> simulation.isolate(Set.of()));
+    register("slow_links", step -> simulation.messageDelayMs = step.intAt(1));
+    register("late_reports", step -> simulation.lateReports = step.isOn(1));
     register("duplicates", this::duplicate);
   }
 
   private void registerStoreAndCloud() {
-    register("slow_store", step -> store.slowMs = step.number(1));
-    register("lower_limits", step -> store.limits(script.nextValueBytes, script.nextTxnOps));
-    register("late_writes", step -> store.lateWrites = step.number(1));
-    register("lost_answers", step -> store.lostAnswers = step.number(1));
+    register("slow_store", step -> store.maxAnswerDelayMs = step.intAt(1));
+    register("lower_limits", step -> store.setLimits(script.nextValueBytes, script.nextTxnOps));
+    register("late_writes", step -> store.lateWritePercent = step.intAt(1));
+    register("lost_answers", step -> store.lostAnswerPercent = step.intAt(1));
     register(
         "slow_watches",
         step ->
             hosts
-                .each(step.word(1))
-                .forEach(label -> store.slowWatches.put(label, step.number(2))));
-    register("quick_watches", step -> store.slowWatches.clear());
-    register("slow_commits", step -> store.slowCommitMs = step.number(1));
+                .controllers(step.word(1))
+                .forEach(label -> store.watchDelayMsByHost.put(label, step.intAt(2))));
+    register("quick_watches", step -> store.watchDelayMsByHost.clear());
+    register("slow_commits", step -> store.maxCommitDelayMs = step.intAt(1));
     register("refuse", this::refuse);
-    register("admit", step -> store.refused.remove(admitted(step)));
-    register("busy", step -> store.busy.add(step.word(1)));
-    register("idle", step -> store.busy.remove(step.word(1)));
+    register("admit", step -> store.refusedHosts.remove(hostToAdmit(step)));
+    register("busy", step -> store.throttledHosts.add(step.word(1)));
+    register("idle", step -> store.throttledHosts.remove(step.word(1)));
     register("outage", this::outage);
-    register("boots", step -> cloud.neverBoot = step.word(1).equals("never"));
+    register("boots", step -> cloud.bootsDisabled = step.word(1).equals("never"));
   }
 
   private void registerMachines() {
-    register("mute", step -> hosts.worker(step.word(1)).unreachable = true);
-    register("unmute", step -> hosts.worker(step.word(1)).unreachable = false);
-    register("keep_report", step -> hosts.worker(step.word(1)).keepReport());
+    register("mute", step -> hosts.worker(step.word(1)).reportsBlocked = true);
+    register("unmute", step -> hosts.worker(step.word(1)).reportsBlocked = false);
+    register("keep_report", step -> hosts.worker(step.word(1)).captureReport());
     register(
         "deliver_report",
-        step -> hosts.worker(step.word(1)).deliverKept(hosts.controller(step.word(2))));
+        step -> hosts.worker(step.word(1)).deliverCapturedReport(hosts.controller(step.word(2))));
     register("hang", this::hang);
-    register("resume", step -> (step.has(1) ? hosts.worker(step.word(1)) : hung).hang(false));
+    register(
+        "resume", step -> (step.hasWord(1) ? hosts.worker(step.word(1)) : lastHung).hang(false));
     register("die", step -> hosts.worker(step.word(1)).die());
-    register("faulty", step -> hosts.worker(step.word(1)).faulty = true);
-    register("notice", step -> hosts.worker(step.word(1)).notice(step.amount(2)));
-    register("take", step -> cloud.take(hosts.host(step.word(1))));
+    register("faulty", step -> hosts.worker(step.word(1)).tasksFail = true);
+    register("notice", step -> hosts.worker(step.word(1)).noticeInterruption(step.doubleAt(2)));
+    register("take", step -> cloud.removeMachine(hosts.host(step.word(1))));
   }
 
   private String controllerOrAny(ScenarioScript.Step step, int index) {
-    return step.has(index) ? hosts.controller(step.word(index)) : controllers.any();
+    return step.hasWord(index) ? hosts.controller(step.word(index)) : controllers.anyRunning();
   }
 
-  private static Simulation.Cut cutOf(ScenarioScript.Step step) {
-    boolean loses = step.has(3) && step.word(3).equals("lose");
-    return loses ? Simulation.Cut.LOSE : Simulation.Cut.HOLD;
+  private static Simulation.Cut cutKind(ScenarioScript.Step step) {
+    boolean losesMessages = step.hasWord(3) && step.word(3).equals("lose");
+    return losesMessages ? Simulation.Cut.LOSE : Simulation.Cut.HOLD;
   }
 
   private void duplicate(ScenarioScript.Step step) {
-    simulation.duplicates = step.on(1);
-    if (step.has(2)) {
-      simulation.duplicatesLateMs = step.number(2) * 1_000;
+    simulation.duplicates = step.isOn(1);
+    if (step.hasWord(2)) {
+      simulation.duplicatesLateMs = step.intAt(2) * 1_000;
     }
   }
 
   private void refuse(ScenarioScript.Step step) {
-    refusedNow = hosts.controller(step.word(1));
-    store.refused.add(refusedNow);
+    lastRefused = hosts.controller(step.word(1));
+    store.refusedHosts.add(lastRefused);
   }
 
-  private String admitted(ScenarioScript.Step step) {
-    return step.word(1).equals("refused") ? refusedNow : step.word(1);
+  private String hostToAdmit(ScenarioScript.Step step) {
+    return step.word(1).equals("refused") ? lastRefused : step.word(1);
   }
 
   private void outage(ScenarioScript.Step step) {
     if (step.word(1).equals("store")) {
-      store.outage(step.on(2));
+      store.setOutage(step.isOn(2));
     } else {
-      cloud.outage = step.on(2);
+      cloud.outage = step.isOn(2);
     }
   }
 
   private void hang(ScenarioScript.Step step) {
-    hung = hosts.worker(step.word(1));
-    hung.hang(true);
+    lastHung = hosts.worker(step.word(1));
+    lastHung.hang(true);
   }
 
   private static Map<String, String> options(List<String> words, int from) {
--- a/src/test/java/org/sandford/scenario/ScenarioTest.java
+++ b/src/test/java/org/sandford/scenario/ScenarioTest.java
@@ -32,15 +32,15 @@
     try {
       String name = file.getFileName().toString();
       List<String> lines = Files.readAllLines(file);
-      return ScenarioScript.workers(lines).stream()
+      return ScenarioScript.workerPeriods(lines).stream()
           .map(
-              workers ->
+              periods ->
                   DynamicTest.dynamicTest(
-                      name + " " + Arrays.toString(workers),
+                      name + " " + Arrays.toString(periods),
                       () -> {
-                        Scenario scenario = new Scenario(name, lines, workers);
+                        Scenario scenario = new Scenario(name, lines, periods);
                         assertEquals(List.of(), scenario.play());
-                        assertTrue(scenario.rules.started > 0, "no task was started");
+                        assertTrue(scenario.rules.startCount > 0, "no task was started");
                       }));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/src/test/java/org/sandford/scenario/ScenarioUsers.java
+++ b/src/test/java/org/sandford/scenario/ScenarioUsers.java
@@ -12,10 +12,10 @@
  */
 final class ScenarioUsers {
   /** Milliseconds for which users poll closely after news of a job. */
-  private static final int CLOSE_POLLS_FOR_MS = 1_500;
+  private static final int FREQUENT_POLLING_MS = 1_500;
 
   /** Milliseconds between two such polls. */
-  private static final int CLOSE_POLLS_PAUSE_MS = 15;
+  private static final int FREQUENT_POLL_INTERVAL_MS = 15;
 
   /** Takes the answer to a request; status 0 stands for none. */
   private interface AnswerHandler {
@@ -27,16 +27,16 @@
   private final Map<String, UserJob> submitted;
   private final SimulatedControllers controllers;
   private final Rules rules;
-  private final TroubleWatch troubles;
+  private final TroubleWatch faultMonitor;
 
   /** Whether users cancel, poll and repeat a job at the moment at which its last task ends. */
   private boolean cancelsAtEnd;
 
   /** Whether users poll all controllers within milliseconds of news. */
-  private boolean closePolls;
+  private boolean frequentPolling;
 
-  private boolean oddRequests;
-  private int oddRequestCount;
+  private boolean sendsInvalidRequests;
+  private int invalidRequestCount;
 
   ScenarioUsers(
       Simulation simulation,
@@ -44,133 +44,134 @@
       Map<String, UserJob> submitted,
       SimulatedControllers controllers,
       Rules rules,
-      TroubleWatch troubles) {
+      TroubleWatch faultMonitor) {
     this.simulation = simulation;
     this.servers = servers;
     this.submitted = submitted;
     this.controllers = controllers;
     this.rules = rules;
-    this.troubles = troubles;
+    this.faultMonitor = faultMonitor;
   }
 
-  void cancelAtEnd(boolean on) {
+  void setCancelAtEnd(boolean on) {
     cancelsAtEnd = on;
   }
 
-  void pollClosely(boolean on) {
-    closePolls = on;
+  void setFrequentPolling(boolean on) {
+    frequentPolling = on;
   }
 
-  void makeOddRequests(boolean on) {
-    oddRequests = on;
-    sendOddRequest();
+  void setInvalidRequests(boolean on) {
+    sendsInvalidRequests = on;
+    sendInvalidRequest();
   }
 
   /** Submits a job of the step's words once more, as its user would. */
   void resubmit(String id) {
     UserJob job = submitted.get(id);
-    send(job, job.team, simulation.now());
+    sendSubmission(job, job.team, simulation.now());
   }
 
-  void abort(String id, String controller) {
-    abort(submitted.get(id), controller);
+  void cancel(String id, String controller) {
+    cancel(submitted.get(id), controller);
   }
 
   /** The moment at which a job's last task ends: users may meet it. */
-  void lastTaskDone(UserJob job) {
-    pollClosely(job);
-    if (cancelsAtEnd && !job.abortAsked) {
-      abort(job, controllers.any());
-      poll(job.id, controllers.any());
-      send(job, job.team, simulation.now());
+  void onLastTaskDone(UserJob job) {
+    pollFrequently(job);
+    if (cancelsAtEnd && !job.cancelRequested) {
+      cancel(job, controllers.anyRunning());
+      poll(job.id, controllers.anyRunning());
+      sendSubmission(job, job.team, simulation.now());
     }
   }
 
   /** Users' mistakes, one after the other, each with the answer that it has to get. */
-  private void sendOddRequest() {
-    if (!oddRequests) {
+  private void sendInvalidRequest() {
+    if (!sendsInvalidRequests) {
       return;
     }
     UserJob job = new UserJob();
-    job.id = String.format("wk-9%05d", oddRequestCount);
+    job.id = String.format("wk-9%05d", invalidRequestCount);
     ObjectNode body = (ObjectNode) Json.read(body(job, "red"));
-    int kind = oddRequestCount++ % 5;
-    switch (kind) {
+    int mistake = invalidRequestCount++ % 5;
+    switch (mistake) {
       case 0 -> body.put("vcpus", 100.0);
       case 1 -> body.remove("ram_gb");
       case 2 -> body.put("pieces", -1);
       case 3 -> body.put("owner", "nobody");
       default -> body.put("rank", "highest");
     }
-    int wanted = kind == 0 || kind == 3 ? 422 : 400;
+    int expected = mistake == 0 || mistake == 3 ? 422 : 400;
     request(
-        controllers.any(),
+        controllers.anyRunning(),
         "POST",
         "/work",
-        kind == 4 && oddRequestCount % 2 == 0 ? new byte[] {'['} : Json.bytes(body),
+        mistake == 4 && invalidRequestCount % 2 == 0 ? new byte[] {'['} : Json.bytes(body),
         5_000,
-        (status, answer) -> rules.answeredOdd("a submission with mistake " + kind, status, wanted));
-    simulation.after(700, this::sendOddRequest);
+        (status, answer) ->
+            rules.checkInvalidSubmission("a submission with mistake " + mistake, status, expected));
+    simulation.after(700, this::sendInvalidRequest);
   }
 
   void submit(String id, Map<String, String> options) {
     UserJob job = new UserJob();
     job.id = id;
     job.team = options.getOrDefault("team", "red");
-    job.standing = options.containsKey("standing");
+    job.service = options.containsKey("standing");
     job.gang = options.containsKey("gang");
     job.rank = options.getOrDefault("rank", "normal");
     job.tasks = Integer.parseInt(options.getOrDefault("tasks", "1"));
     job.cpus = Double.parseDouble(options.getOrDefault("cpus", "1"));
-    job.ram = Double.parseDouble(options.getOrDefault("ram", "1"));
+    job.ramGb = Double.parseDouble(options.getOrDefault("ram", "1"));
     for (String run : options.getOrDefault("run", "5").split("/", -1)) {
-      job.runs.add(Double.parseDouble(run));
+      job.taskRunTimesS.add(Double.parseDouble(run));
     }
-    job.runS = job.runs.get(job.runs.size() - 1);
+    job.runS = job.taskRunTimesS.get(job.taskRunTimesS.size() - 1);
     job.jobClass = options.getOrDefault("class", "any");
     job.spot = options.containsKey("spot");
     job.spreadAcrossZones = options.containsKey("scatter");
     job.sameZone = options.containsKey("together");
-    job.fails = options.containsKey("fails");
+    job.tasksFail = options.containsKey("fails");
     job.zone = options.getOrDefault("zone", "");
     job.checkpointIntervalS = Double.parseDouble(options.getOrDefault("save", "0"));
-    job.since = simulation.now();
+    job.submittedAt = simulation.now();
     submitted.put(id, job);
-    send(job, job.team, simulation.now());
+    sendSubmission(job, job.team, simulation.now());
   }
 
   private byte[] body(UserJob job, String team) {
-    ObjectNode b = Json.object();
-    b.put("name_id", job.id)
+    ObjectNode body = Json.object();
+    body.put("name_id", job.id)
         .put("job_class", job.jobClass)
         .put("owner", team)
         .put("rank", job.rank);
-    b.put("shape", job.gang ? "ensemble" : job.standing ? "standing" : "array")
+    body.put("shape", job.gang ? "ensemble" : job.service ? "standing" : "array")
         .put("pieces", job.tasks);
-    b.put("vcpus", job.cpus)
+    body.put("vcpus", job.cpus)
         .put("accelerators", 0.0)
-        .put("ram_gb", job.ram)
+        .put("ram_gb", job.ramGb)
         .put("build", "img")
         .put("image_gb", 1.0);
-    b.putNull("machine_kinds").putNull("due_s");
-    b.put("site", job.zone.isEmpty() ? null : job.zone);
-    b.put("together", job.sameZone)
+    body.putNull("machine_kinds").putNull("due_s");
+    body.put("site", job.zone.isEmpty() ? null : job.zone);
+    body.put("together", job.sameZone)
         .put("scatter", job.spreadAcrossZones)
         .put("reclaimable", job.spot);
-    b.put("expected_s", job.runS)
+    body.put("expected_s", job.runS)
         .put("save_every_s", job.checkpointIntervalS)
         .put("save_cost_s", 1.0);
-    return Json.bytes(b);
+    return Json.bytes(body);
   }
 
   private void request(
-      String to, String method, String path, byte[] body, long patienceMs, AnswerHandler taken) {
-    boolean[] over = {false};
+      String to, String method, String path, byte[] body, long timeoutMs, AnswerHandler handler) {
+    boolean[] answered = {false};
     AnswerHandler once =
         (status, answer) -> {
-          if (!over[0]) {
-            over[0] = true;
-            taken.answer(status, answer);
+          if (!answered[0]) {
+            answered[0] = true;
+            handler.answer(status, answer);
           }
         };
     FakeServer server = servers.get(to);
@@ -178,7 +179,7 @@
       simulation.after(1, () -> once.answer(0, Json.object()));
       return;
     }
-    simulation.after(patienceMs, () -> once.answer(0, Json.object()));
+    simulation.after(timeoutMs, () -> once.answer(0, Json.object()));
     simulation.carry(
         "users",
         to,
@@ -188,35 +189,37 @@
                 method,
                 path,
                 body,
-                r -> simulation.carry(to, "users", () -> once.answer(r.status(), r.body()))));
+                response ->
+                    simulation.carry(
+                        to, "users", () -> once.answer(response.status(), response.body()))));
   }
 
   /** Takes an answer; on news, users may look closely at once. */
-  private void told(String id, String node, long askedAt, int status, String state) {
+  private void handleAnswer(String id, String controller, long askedAt, int status, String state) {
     UserJob job = submitted.get(id);
-    if (rules.answered(id, job, node, askedAt, status, state)) {
-      pollClosely(job);
+    if (rules.checkAnswer(id, job, controller, askedAt, status, state)) {
+      pollFrequently(job);
     }
   }
 
   /** Users who look closely ask at all controllers again and again, and repeat the submission. */
-  private void pollClosely(UserJob job) {
-    if (closePolls) {
-      for (int ms = 0; ms < CLOSE_POLLS_FOR_MS; ms += CLOSE_POLLS_PAUSE_MS) {
-        simulation.after(ms, () -> pollEverywhere(job));
+  private void pollFrequently(UserJob job) {
+    if (frequentPolling) {
+      for (int ms = 0; ms < FREQUENT_POLLING_MS; ms += FREQUENT_POLL_INTERVAL_MS) {
+        simulation.after(ms, () -> pollAllControllers(job));
       }
     }
   }
 
-  private void pollEverywhere(UserJob job) {
+  private void pollAllControllers(UserJob job) {
     for (String label : List.copyOf(controllers.runningLabels())) {
       poll(job.id, label);
-      repeat(job, label);
+      repeatSubmission(job, label);
     }
   }
 
   /** Submits a job that was accepted once more, and does not follow it a second time. */
-  private void repeat(UserJob job, String label) {
+  private void repeatSubmission(UserJob job, String label) {
     long askedAt = simulation.now();
     request(
         label,
@@ -224,12 +227,13 @@
         "/work",
         body(job, job.team),
         5_000,
-        (status, answer) -> told(job.id, label, askedAt, status, answer.path("status").asText()));
+        (status, answer) ->
+            handleAnswer(job.id, label, askedAt, status, answer.path("status").asText()));
   }
 
-  private void send(UserJob job, String team, long since) {
+  private void sendSubmission(UserJob job, String team, long submittedAt) {
     long askedAt = simulation.now();
-    String to = controllers.any();
+    String to = controllers.anyRunning();
     request(
         to,
         "POST",
@@ -237,25 +241,25 @@
         body(job, team),
         5_000,
         (status, answer) -> {
-          job.status = status;
-          told(job.id, to, askedAt, status, answer.path("status").asText());
+          job.submissionStatus = status;
+          handleAnswer(job.id, to, askedAt, status, answer.path("status").asText());
           if (status == 200 || status == 201) {
-            job.lastAnswer = simulation.now();
-            pollAgain(job);
+            job.lastAnswerAt = simulation.now();
+            schedulePoll(job);
           } else if (status != 400
               && status != 422
-              && simulation.now() - since < 60_000 * Simulation.MS) {
-            simulation.after(1_000, () -> send(job, team, since));
+              && simulation.now() - submittedAt < 60_000 * Simulation.MS) {
+            simulation.after(1_000, () -> sendSubmission(job, team, submittedAt));
           }
         });
   }
 
-  private void pollAgain(UserJob job) {
+  private void schedulePoll(UserJob job) {
     simulation.after(
         1_000,
         () -> {
           long askedAt = simulation.now();
-          String to = controllers.any();
+          String to = controllers.anyRunning();
           request(
               to,
               "GET",
@@ -264,9 +268,9 @@
               2_000,
               (status, answer) -> {
                 String state = answer.path("status").asText();
-                told(job.id, to, askedAt, status, state);
-                rules.polled(job, status, troubles.lastTrouble());
-                pollAgain(job);
+                handleAnswer(job.id, to, askedAt, status, state);
+                rules.checkPoll(job, status, faultMonitor.checkForFaults());
+                schedulePoll(job);
               });
         });
   }
@@ -280,16 +284,16 @@
         new byte[0],
         2_000,
         (status, answer) -> {
-          told(id, controller, askedAt, status, answer.path("status").asText());
+          handleAnswer(id, controller, askedAt, status, answer.path("status").asText());
           if (!submitted.containsKey(id) && status != 404 && status != 503) {
-            simulation.broke("invented", id + " gets " + status);
+            simulation.recordViolation("invented", id + " gets " + status);
           }
         });
   }
 
-  void abort(UserJob job, String controller) {
-    job.abortAsked = true;
-    pollClosely(job);
+  void cancel(UserJob job, String controller) {
+    job.cancelRequested = true;
+    pollFrequently(job);
     long askedAt = simulation.now();
     request(
         controller,
@@ -300,12 +304,12 @@
         (status, answer) -> {
           String state = answer.path("status").asText();
           if (status == 200) {
-            told(job.id, controller, askedAt, status, state);
-            if (state.equals("aborted") && job.abortedAt == 0) {
-              job.abortedAt = simulation.now();
+            handleAnswer(job.id, controller, askedAt, status, state);
+            if (state.equals("aborted") && job.cancelConfirmedAt == 0) {
+              job.cancelConfirmedAt = simulation.now();
             }
           } else {
-            simulation.after(1_000, () -> abort(job, controllers.any()));
+            simulation.after(1_000, () -> cancel(job, controllers.anyRunning()));
           }
         });
   }
--- a/src/test/java/org/sandford/scenario/SimulatedControllers.java
+++ b/src/test/java/org/sandford/scenario/SimulatedControllers.java
@@ -36,7 +36,7 @@
     this.store = store;
     this.servers = servers;
     this.zones = zones;
-    this.upgraded = !script.beginsWithProduction;
+    this.upgraded = !script.startsWithProductionVersion;
   }
 
   void upgrade() {
@@ -69,9 +69,9 @@
   }
 
   /** A running controller drawn by the simulation's random numbers. */
-  String any() {
-    List<String> up = new ArrayList<>(running.keySet());
-    return up.isEmpty() ? "c0" : up.get(simulation.random.nextInt(up.size()));
+  String anyRunning() {
+    List<String> labels = new ArrayList<>(running.keySet());
+    return labels.isEmpty() ? "c0" : labels.get(simulation.random.nextInt(labels.size()));
   }
 
   boolean anyFrozen() {
@@ -97,7 +97,7 @@
 
   void start(String label) {
     int index = Integer.parseInt(label.substring(1));
-    store.announcesNoVersion(label, !upgraded);
+    store.setUnversioned(label, !upgraded);
     Settings settings = settings(label, index);
     Simulation.ProcessLoop loop = simulation.new ProcessLoop((index - 1) * 0.0004);
     Controller controller =
@@ -147,10 +147,10 @@
 
   private Settings.Facts facts() {
     // The production version obeys the present limits alone.
-    boolean knowsNext = upgraded && script.nextValueBytes > 0;
+    boolean knowsNextLimits = upgraded && script.nextValueBytes > 0;
     int valueBytes =
-        knowsNext ? Math.min(script.valueBytes, script.nextValueBytes) : script.valueBytes;
-    int txnOps = knowsNext ? Math.min(script.txnOps, script.nextTxnOps) : script.txnOps;
+        knowsNextLimits ? Math.min(script.valueBytes, script.nextValueBytes) : script.valueBytes;
+    int txnOps = knowsNextLimits ? Math.min(script.txnOps, script.nextTxnOps) : script.txnOps;
     return new Settings.Facts(
         zones,
         script.teams,
--- a/src/test/java/org/sandford/scenario/Simulation.java
+++ b/src/test/java/org/sandford/scenario/Simulation.java
@@ -15,7 +15,7 @@
 
 /** Simulated time and network: one queue of events, run in order, the same on every run. */
 final class Simulation {
-  private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+  private record Event(long at, long order, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
       int byTime = Long.compare(at, other.at);
@@ -41,26 +41,26 @@
   int duplicatesLateMs = 2_000;
 
   final Random random;
-  final List<String> broken = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
   private final PriorityQueue<Event> queue = new PriorityQueue<>();
   private final Map<String, Cut> cuts = new LinkedHashMap<>();
-  private final Map<String, ArrayDeque<Runnable>> held = new LinkedHashMap<>();
+  private final Map<String, ArrayDeque<Runnable>> heldMessages = new LinkedHashMap<>();
   private final Map<String, Long> lastArrival = new HashMap<>();
 
   /**
    * Hosts of a zone that is cut off from all outside it, and goes on inside; empty when none is.
    */
-  private final Set<String> island = new HashSet<>();
+  private final Set<String> isolatedHosts = new HashSet<>();
 
   /** Milliseconds that every message takes longer. */
-  int slowMs;
+  int messageDelayMs;
 
   /** Hears of all orders that go straight to a worker, when they leave. */
   java.util.function.Consumer<com.fasterxml.jackson.databind.JsonNode> ordersSent = orders -> {};
 
-  private final Set<String> dead = new HashSet<>();
+  private final Set<String> deadHosts = new HashSet<>();
   private long now = 1_000 * MS;
-  private long order;
+  private long nextOrder;
 
   Simulation(long seed) {
     random = new Random(seed);
@@ -74,12 +74,12 @@
     return (now - 1_000 * MS) / 1e9;
   }
 
-  void at(long when, Runnable what) {
-    queue.add(new Event(Math.max(when, now), order++, what));
+  void at(long when, Runnable action) {
+    queue.add(new Event(Math.max(when, now), nextOrder++, action));
   }
 
-  void after(long millis, Runnable what) {
-    at(now + millis * MS, what);
+  void after(long millis, Runnable action) {
+    at(now + millis * MS, action);
   }
 
   void runUntil(double seconds) {
@@ -87,55 +87,55 @@
     while (!queue.isEmpty() && queue.peek().at <= end) {
       Event event = queue.poll();
       now = event.at;
-      event.what.run();
+      event.action.run();
     }
     now = Math.max(now, end);
   }
 
-  void broke(String rule, String what) {
-    broken.add(String.format("%.3f s %s: %s", seconds(), rule, what));
+  void recordViolation(String rule, String detail) {
+    violations.add(String.format("%.3f s %s: %s", seconds(), rule, detail));
   }
 
-  private static String pair(String from, String to) {
+  private static String link(String from, String to) {
     return from + ">" + to;
   }
 
-  void cut(String a, String b, Cut how) {
-    cutOneWay(a, b, how);
-    cutOneWay(b, a, how);
+  void cut(String a, String b, Cut kind) {
+    cutOneWay(a, b, kind);
+    cutOneWay(b, a, kind);
   }
 
   /** Only what goes from the one to the other is held back or lost. */
-  void cutOneWay(String from, String to, Cut how) {
-    cuts.put(pair(from, to), how);
+  void cutOneWay(String from, String to, Cut kind) {
+    cuts.put(link(from, to), kind);
   }
 
-  boolean anyCut() {
-    return !cuts.isEmpty() || !island.isEmpty();
+  boolean hasCuts() {
+    return !cuts.isEmpty() || !isolatedHosts.isEmpty();
   }
 
   /**
    * Cuts these hosts off from all others, which holds back what is said; an empty set ends that.
    */
-  void cutOff(Set<String> hosts) {
-    island.clear();
-    island.addAll(hosts);
-    deliverHeld();
+  void isolate(Set<String> hosts) {
+    isolatedHosts.clear();
+    isolatedHosts.addAll(hosts);
+    deliverHeldMessages();
   }
 
   void heal(String a, String b) {
-    cuts.remove(pair(a, b));
-    cuts.remove(pair(b, a));
-    deliverHeld();
+    cuts.remove(link(a, b));
+    cuts.remove(link(b, a));
+    deliverHeldMessages();
   }
 
-  private void deliverHeld() {
-    for (Iterator<Map.Entry<String, ArrayDeque<Runnable>>> it = held.entrySet().iterator();
+  private void deliverHeldMessages() {
+    for (Iterator<Map.Entry<String, ArrayDeque<Runnable>>> it = heldMessages.entrySet().iterator();
         it.hasNext(); ) {
-      Map.Entry<String, ArrayDeque<Runnable>> e = it.next();
-      String[] ends = e.getKey().split(">", -1);
+      Map.Entry<String, ArrayDeque<Runnable>> link = it.next();
+      String[] ends = link.getKey().split(">", -1);
       if (cutBetween(ends[0], ends[1]) == null) {
-        e.getValue().forEach(message -> after(1, message));
+        link.getValue().forEach(message -> after(1, message));
         it.remove();
       }
     }
@@ -143,27 +143,27 @@
 
   /** The cut between two hosts, or null; {@code *} stands for every host. */
   Cut cutBetween(String from, String to) {
-    if (island.contains(from) != island.contains(to)) {
+    if (isolatedHosts.contains(from) != isolatedHosts.contains(to)) {
       return Cut.HOLD;
     }
-    for (String pair : new String[] {pair(from, to), pair(from, "*"), pair("*", to)}) {
-      if (cuts.containsKey(pair)) {
-        return cuts.get(pair);
+    for (String link : new String[] {link(from, to), link(from, "*"), link("*", to)}) {
+      if (cuts.containsKey(link)) {
+        return cuts.get(link);
       }
     }
     return null;
   }
 
-  void setDead(String host, boolean is) {
-    if (is) {
-      dead.add(host);
+  void setDead(String host, boolean down) {
+    if (down) {
+      deadHosts.add(host);
     } else {
-      dead.remove(host);
+      deadHosts.remove(host);
     }
   }
 
   boolean isDead(String host) {
-    return dead.contains(host);
+    return deadHosts.contains(host);
   }
 
   /** Carries a message; messages between the same two hosts stay in order. */
@@ -173,12 +173,12 @@
       return;
     }
     if (cut == Cut.HOLD) {
-      held.computeIfAbsent(pair(from, to), p -> new ArrayDeque<>()).addLast(arrive);
+      heldMessages.computeIfAbsent(link(from, to), p -> new ArrayDeque<>()).addLast(arrive);
       return;
     }
-    long arrival = now + MS / 2 + random.nextInt((int) MS) + slowMs * MS;
-    arrival = Math.max(arrival, lastArrival.getOrDefault(pair(from, to), 0L));
-    lastArrival.put(pair(from, to), arrival);
+    long arrival = now + MS / 2 + random.nextInt((int) MS) + messageDelayMs * MS;
+    arrival = Math.max(arrival, lastArrival.getOrDefault(link(from, to), 0L));
+    lastArrival.put(link(from, to), arrival);
     at(arrival, arrive);
   }
 
@@ -208,11 +208,11 @@
     }
 
     /** Runs it now, or, in the order in which it came, once the process goes on. */
-    void whenAwake(Runnable what) {
+    void whenAwake(Runnable action) {
       if (now < frozenUntil) {
-        Simulation.this.at(frozenUntil, () -> whenAwake(what));
+        Simulation.this.at(frozenUntil, () -> whenAwake(action));
       } else if (alive) {
-        what.run();
+        action.run();
       }
     }
 
@@ -222,24 +222,24 @@
     }
 
     @Override
-    public Timer after(long millis, Runnable what) {
-      boolean[] off = {false};
+    public Timer after(long millis, Runnable action) {
+      boolean[] cancelled = {false};
       Simulation.this.after(
           millis,
           () -> {
             whenAwake(
                 () -> {
-                  if (!off[0]) {
-                    what.run();
+                  if (!cancelled[0]) {
+                    action.run();
                   }
                 });
           });
-      return () -> off[0] = true;
+      return () -> cancelled[0] = true;
     }
 
     @Override
-    public void execute(Runnable what) {
-      Simulation.this.at(now, () -> whenAwake(what));
+    public void execute(Runnable action) {
+      Simulation.this.at(now, () -> whenAwake(action));
     }
   }
 }
--- a/src/test/java/org/sandford/scenario/TroubleWatch.java
+++ b/src/test/java/org/sandford/scenario/TroubleWatch.java
@@ -2,13 +2,13 @@
 
 /** Knows when there was trouble in the cluster last: now, or when the last of it ended. */
 final class TroubleWatch {
-  private static final int CHECK_MS = 500;
+  private static final int CHECK_INTERVAL_MS = 500;
 
   private final Simulation simulation;
   private final SimulatedControllers controllers;
   private final FakeStore store;
   private final FakeCloud cloud;
-  private long lastTrouble;
+  private long lastFaultAt;
 
   TroubleWatch(
       Simulation simulation, SimulatedControllers controllers, FakeStore store, FakeCloud cloud) {
@@ -20,33 +20,33 @@
 
   /** Begins to check periodically. */
   void start() {
-    lastTrouble();
-    simulation.after(CHECK_MS, this::start);
+    checkForFaults();
+    simulation.after(CHECK_INTERVAL_MS, this::start);
   }
 
   /** The time as of the last check, without another one. */
-  long lastSeenTrouble() {
-    return lastTrouble;
+  long lastFaultAt() {
+    return lastFaultAt;
   }
 
   /** Checks, and returns the time of the last trouble. */
-  long lastTrouble() {
-    if (inTrouble()) {
-      lastTrouble = simulation.now();
+  long checkForFaults() {
+    if (hasFault()) {
+      lastFaultAt = simulation.now();
     }
-    return lastTrouble;
+    return lastFaultAt;
   }
 
-  private boolean inTrouble() {
-    return simulation.anyCut()
+  private boolean hasFault() {
+    return simulation.hasCuts()
         || !controllers.allRunning()
         || controllers.anyFrozen()
-        || store.inTrouble()
+        || store.hasFault()
         || cloud.outage
         || simulation.duplicates
         || simulation.lateReports
-        || simulation.slowMs > 0
+        || simulation.messageDelayMs > 0
         || cloud.machines.values().stream()
-            .anyMatch(machine -> machine.worker != null && machine.worker.inTrouble());
+            .anyMatch(machine -> machine.worker != null && machine.worker.hasFault());
   }
 }
--- a/src/test/java/org/sandford/scenario/UserJob.java
+++ b/src/test/java/org/sandford/scenario/UserJob.java
@@ -9,22 +9,22 @@
 final class UserJob {
   String id;
   String team = "red";
-  boolean standing;
+  boolean service;
   String rank = "normal";
   int tasks = 1;
   double cpus = 1;
-  double ram = 1;
+  double ramGb = 1;
   double runS = 5;
   boolean spot;
   boolean spreadAcrossZones;
   boolean sameZone;
-  boolean fails;
+  boolean tasksFail;
   boolean gang;
 
   /** Progress of a gang that its next attempt starts from. */
   double savedProgressS;
 
-  double stoppedAtProgressS;
+  double progressAtStopS;
 
   /**
    * How often a gang ran with all its tasks, and how often it was stopped with its progress saved.
@@ -37,19 +37,19 @@
   String jobClass = "any";
 
   /** Run times of single tasks, by number; the others run as long as the job says. */
-  final List<Double> runs = new ArrayList<>();
+  final List<Double> taskRunTimesS = new ArrayList<>();
 
-  final Set<String> finished = new HashSet<>();
-  boolean abortAsked;
-  long abortedAt;
-  int status;
-  long since;
-  long lastAnswer;
+  final Set<String> finishedTasks = new HashSet<>();
+  boolean cancelRequested;
+  long cancelConfirmedAt;
+  int submissionStatus;
+  long submittedAt;
+  long lastAnswerAt;
 
   /** When its first task started. */
-  long beganAt = -1;
+  long firstStartAt = -1;
 
-  double runSOf(int task) {
-    return task < runs.size() ? runs.get(task) : runS;
+  double runTimeSOf(int task) {
+    return task < taskRunTimesS.size() ? taskRunTimesS.get(task) : runS;
   }
 }
