--- a/src/test/java/org/sandford/scenario/AnswerHistory.java
+++ b/src/test/java/org/sandford/scenario/AnswerHistory.java
@@ -9,13 +9,13 @@
 import java.util.Set;
 
 /**
- * All answers that users got about each job, at all controllers. A job's life only goes forward:
- * unknown, accepted, ended. The answers are linearizable in that order when no question that began
- * after some answer had arrived gets an older one. Questions that overlap may be answered in either
+ * Records all answers that users received about each job from all controllers. A job only moves
+ * forward: unknown, accepted, ended. The answers are linearizable in that order if no request sent
+ * after an answer had arrived gets an earlier stage. Overlapping requests may be answered in either
  * order.
  */
 final class AnswerHistory {
-  /** How far a job had come, as its user was told. */
+  /** The stage of a job that an answer reports. */
   enum Stage {
     UNKNOWN,
     ACCEPTED,
@@ -31,10 +31,10 @@
   }
 
   /**
-   * One answer.
+   * Records one answer.
    *
    * @param controller the controller that was asked
-   * @param askedAt simulated nanoseconds at which the question left
+   * @param askedAt simulated nanoseconds at which the request was sent
    * @param answeredAt simulated nanoseconds at which the answer arrived
    * @param status the status in the answer; empty for a 404
    */
@@ -46,7 +46,7 @@
     private String describe() {
       return String.format(
           Locale.ROOT,
-          "%s at %s (asked %.3f ms before)",
+          "%s at %s (requested %.3f ms before)",
           status.isEmpty() ? "unknown" : status,
           controller,
           (answeredAt - askedAt) / 1e6);
@@ -57,10 +57,10 @@
   private final Set<String> jobsWithContradiction = new HashSet<>();
 
   /**
-   * Adds an answer; answers come in the order of their arrival, so each is compared with all that
-   * arrived before its question left. Of a job only the first contradiction is told.
+   * Adds an answer. Answers are added in the order of arrival; each is compared with all that
+   * arrived before its request was sent. Only the first contradiction of a job is returned.
    *
-   * @return what the answer contradicts, or an empty text
+   * @return a description of the contradiction, or an empty string
    */
   String add(String job, RecordedAnswer answer) {
     List<RecordedAnswer> earlierAnswers = answers.computeIfAbsent(job, j -> new ArrayList<>());
@@ -71,7 +71,7 @@
         break;
       }
     }
-    // One answer of each stage, the first to arrive, decides all later comparisons.
+    // The first answer of each stage to arrive is enough for all later comparisons.
     if (earlierAnswers.stream().noneMatch(earlier -> earlier.stage() == answer.stage())) {
       earlierAnswers.add(answer);
     }
--- a/src/test/java/org/sandford/scenario/AnswerHistoryTest.java
+++ b/src/test/java/org/sandford/scenario/AnswerHistoryTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.sandford.scenario.AnswerHistory.RecordedAnswer;
 
-/** The order of answers over all controllers. */
+/** Tests the order of answers over all controllers. */
 class AnswerHistoryTest {
   private final AnswerHistory history = new AnswerHistory();
 
@@ -19,7 +19,8 @@
     assertEquals("", add("c0", 1, 2, ""));
     assertEquals("", add("c1", 3, 4, "queued"));
     assertEquals("", add("c2", 5, 6, "running"));
-    assertEquals("", add("c0", 7, 8, "queued"), "a task may be stopped");
+    assertEquals(
+        "", add("c0", 7, 8, "queued"), "a running job is queued again when its task is stopped");
     assertEquals("", add("c1", 9, 10, "done"));
     assertEquals("", add("c2", 11, 12, "done"));
   }
--- a/src/test/java/org/sandford/scenario/FakeCloud.java
+++ b/src/test/java/org/sandford/scenario/FakeCloud.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.sandford.runtime.Json;
 
-/** A cloud by its published protocol: one kind of machine, pools by zone, a list that lags. */
+/** Simulates the cloud: one machine type, a pool in each zone, a listing that lags by 5 s. */
 final class FakeCloud implements FakeServer {
   static final class Rented {
     final String name;
--- a/src/test/java/org/sandford/scenario/FakeGang.java
+++ b/src/test/java/org/sandford/scenario/FakeGang.java
@@ -7,11 +7,11 @@
 import org.sandford.scenario.FakeWorker.Held;
 
 /**
- * The tasks of one attempt of a gang, as the protocol describes how workers match them: they start
- * together, complete together, and notice when one is gone.
+ * Simulates one attempt of a gang as the protocol describes it: its tasks start together, complete
+ * together, and notice when one of them is lost.
  */
 final class FakeGang {
-  /** Seconds that a task needs to save. */
+  /** Seconds that a task needs to save a checkpoint. */
   static final double SAVE_COST_S = 1.0;
 
   private enum Phase {
@@ -25,7 +25,7 @@
   private final Scenario scenario;
   private final UserJob job;
 
-  /** The tasks on machines, each with its worker. */
+  /** The tasks that have joined, each with its worker. */
   private final Map<Held, FakeWorker> members = new HashMap<>();
 
   private final List<Held> stopRequested = new ArrayList<>();
@@ -39,10 +39,10 @@
     this.job = job;
   }
 
-  /** The task has its image; the last one starts all. */
+  /** Adds a task that has its image; the last one to join starts all. */
   void join(FakeWorker worker, Held task) {
     if (phase != Phase.GATHERING) {
-      // Its gang has broken up, so it waits for others in vain.
+      // The attempt has already started or failed, so the task waits until it times out.
       simulation.after(
           (long) (scenario.script.gangWaitS * 1000),
           () -> worker.endIfInStatus(task, "gathering", "alone"));
@@ -91,7 +91,7 @@
     }
   }
 
-  /** The task ended, or is gone with its machine or its lease. */
+  /** Removes a task that ended or was lost with its machine or lease. */
   void remove(Held task) {
     if (members.remove(task) == null) {
       return;
@@ -101,7 +101,10 @@
     }
   }
 
-  /** Progress since the last checkpoint is lost; the other tasks notice within the time for it. */
+  /**
+   * Fails the attempt: progress since the last checkpoint is lost, and the other tasks notice
+   * within {@code gangPeerS}.
+   */
   private void failAttempt() {
     double progress = phase == Phase.RUNNING ? progress() : job.progressAtStopS;
     if (job.checkpointIntervalS > 0) {
@@ -124,8 +127,8 @@
   }
 
   /**
-   * A task is told to stop; true when it goes on until the others are told, false when it ends at
-   * once.
+   * Requests a task to stop. Returns true if it runs on until all tasks have been requested to stop
+   * and have saved, and false if it has to end at once.
    */
   boolean requestStop(Held task, double graceS) {
     boolean canSave =
--- a/src/test/java/org/sandford/scenario/FakeServer.java
+++ b/src/test/java/org/sandford/scenario/FakeServer.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
 
-/** Something that takes requests in the simulated world. */
+/** Handles requests to a simulated host. */
 interface FakeServer {
   record Response(int status, ObjectNode body) {}
 
--- a/src/test/java/org/sandford/scenario/FakeStore.java
+++ b/src/test/java/org/sandford/scenario/FakeStore.java
@@ -15,7 +15,7 @@
 import java.util.function.Consumer;
 import org.sandford.runtime.Json;
 
-/** A state service by its published protocol, with outages and refusals of single hosts. */
+/** Simulates the state service by its published protocol, with outages and refused hosts. */
 final class FakeStore implements FakeServer {
   private record Item(JsonNode value, long stamp, long hold) {}
 
@@ -26,7 +26,7 @@
     long until;
   }
 
-  @SuppressWarnings("ArrayRecordComponent") // The flag is shared by all who hold the watcher.
+  @SuppressWarnings("ArrayRecordComponent") // The flag is shared by all users of the watcher.
   private record Watcher(
       String from, String prefix, long since, Consumer<Response> respond, boolean[] answered) {}
 
@@ -37,28 +37,28 @@
   private final List<Watcher> watchers = new ArrayList<>();
   final Set<String> refusedHosts = new HashSet<>();
 
-  /** Hosts whose changes are too many, as far as the store is concerned. */
+  /** Hosts whose transactions are refused with status 429, as if they sent too many. */
   final Set<String> throttledHosts = new HashSet<>();
 
-  /** Of a hundred transactions so many get no answer and are carried out 2 to 12 s later. */
+  /** The percentage of transactions that get no answer and are carried out 2 to 12 s later. */
   int lateWritePercent;
 
-  /** Of a hundred transactions so many are carried out at once, and their answers are lost. */
+  /** The percentage of transactions that are carried out at once and whose answers are lost. */
   int lostAnswerPercent;
 
   /**
-   * Milliseconds that the answer to a transaction takes at the most; the watches stay quick, so
-   * that others learn of a change before the controller that made it.
+   * The maximum delay of an answer to a transaction, in milliseconds. Watches are not delayed, so
+   * others learn of a change before the controller that made it.
    */
   int maxCommitDelayMs;
 
-  /** Hosts that hear of changes up to so many milliseconds later than others by their watches. */
+  /** The maximum delay of answers to the watches of each host, in milliseconds. */
   final Map<String, Integer> watchDelayMsByHost = new HashMap<>();
 
-  /** Milliseconds that each answer takes. */
+  /** The maximum delay of every answer, in milliseconds. */
   int maxAnswerDelayMs;
 
-  /** Puts to the assignment map's machines since the start. */
+  /** Counts puts to the machines' partitions of the assignment map. */
   long assignmentMapWrites;
 
   private boolean outage;
@@ -75,13 +75,16 @@
     expireHolds();
   }
 
-  /** From now on these limits hold; what is stored stays readable. */
+  /** Sets new limits; values already stored stay readable. */
   void setLimits(int newValueBytes, int newTxnOps) {
     valueBytes = newValueBytes;
     txnOps = newTxnOps;
   }
 
-  /** Whether the controller's incarnations are stored as the production version writes them. */
+  /**
+   * Sets whether the controller's incarnations are stored without a record version, as the
+   * production version writes them.
+   */
   void setUnversioned(String label, boolean unversioned) {
     if (unversioned) {
       unversionedKeys.add("inc/" + label);
@@ -93,7 +96,7 @@
   void setOutage(boolean on) {
     outage = on;
     if (!on) {
-      // After an outage every hold has its full time again.
+      // After an outage every hold has its full TTL again.
       holds.values().forEach(h -> h.until = simulation.now() + h.ttlMs * Simulation.MS);
       answerWatchers();
     }
@@ -113,7 +116,7 @@
     return items.containsKey(key);
   }
 
-  /** What a key holds, or null. */
+  /** Returns the value of a key, or null. */
   JsonNode value(String key) {
     Item item = items.get(key);
     return item == null ? null : item.value;
@@ -275,13 +278,13 @@
     if (writes.size() > txnOps
         || body.path("when").size() > 4 * txnOps
         || Json.bytes(body).length > 64 * 1024) {
-      simulation.recordViolation("limits", "a transaction over the store's limits");
+      simulation.recordViolation("limits", "a transaction exceeds the store's limits");
       return new Response(400, Json.object());
     }
     for (JsonNode write : writes) {
       if (write.has("put") && Json.bytes(write.path("v")).length > valueBytes) {
         simulation.recordViolation(
-            "limits", "a value over the store's limit: " + write.path("put").asText());
+            "limits", "a value exceeds the store's limit: " + write.path("put").asText());
         return new Response(400, Json.object());
       }
       if (write.path("permit").asLong() > 0 && !holds.containsKey(write.path("permit").asLong())) {
--- a/src/test/java/org/sandford/scenario/FakeWorker.java
+++ b/src/test/java/org/sandford/scenario/FakeWorker.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import org.sandford.runtime.Json;
 
-/** A worker by its published protocol: reports, commands, tokens, its lease and its tasks. */
+/** Simulates a worker by its published protocol: reports, commands, fences, lease and tasks. */
 final class FakeWorker implements FakeServer {
   static final class Held {
     final String piece;
@@ -52,10 +52,10 @@
   private boolean hanging;
   boolean tasksFail;
 
-  /** It reaches no controller, while direct commands reach it. */
+  /** Whether its reports reach no controller, while direct commands still reach it. */
   boolean reportsBlocked;
 
-  /** A report that was kept to be delivered later. */
+  /** A report that is captured to be delivered later. */
   private byte[] capturedReport;
 
   private Double interruptionNoticeS;
@@ -86,13 +86,13 @@
     return hanging;
   }
 
-  /** All tasks of the gang are there: the task runs from now on. */
+  /** Marks a task as running once all tasks of its gang have joined. */
   void startRunning(Held task) {
     task.status = "running";
     scheduleReport();
   }
 
-  /** Ends the task if it is still there and in this state. */
+  /** Ends the task if the worker still has it in this status. */
   void endIfInStatus(Held task, String status, String cause) {
     if (!terminated && tasks.containsValue(task) && task.status.equals(status)) {
       if (hanging) {
@@ -128,7 +128,7 @@
     return !terminated && (hanging || reportsBlocked);
   }
 
-  /** Keeps what it would report now, as if it were held back on its way. */
+  /** Captures the present report, as if it were delayed in the network. */
   void captureReport() {
     capturedReport = Json.bytes(reportBody());
   }
@@ -372,7 +372,7 @@
             scheduleReport();
           }
         }
-        default -> simulation.recordViolation("protocol", "an unknown order " + order);
+        default -> simulation.recordViolation("protocol", "unknown order " + order);
       }
     }
   }
--- a/src/test/java/org/sandford/scenario/FreeCapacity.java
+++ b/src/test/java/org/sandford/scenario/FreeCapacity.java
@@ -6,9 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/**
- * Whether a waiting job could be served: a machine that fits has room, and its team's limit allows.
- */
+/** Determines whether free machine capacity and the team's limit allow a waiting job to start. */
 final class FreeCapacity {
   private static final double MACHINE_CPUS = 8;
   private static final double CPU_EPSILON = 1e-9;
@@ -22,8 +20,8 @@
   }
 
   /**
-   * Whether a task of the job that is on no machine would find room: a machine that fits, and its
-   * team's limit.
+   * Returns whether a task of the job that is on no machine fits a suitable machine and its team's
+   * limit.
    */
   boolean hasCapacityFor(UserJob job) {
     if (job.gang) {
@@ -73,7 +71,7 @@
   }
 
   /**
-   * Whether a gang that does not run would find room for all of its tasks at once, and within its
+   * Returns whether all tasks of a gang that does not run fit suitable machines at once, and its
    * team's limit.
    */
   private boolean gangFits(UserJob gang) {
--- a/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
+++ b/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
@@ -7,26 +7,29 @@
 import java.util.Random;
 
 /**
- * Draws a small world in which two or three troubles meet at random times, as the lines of a
- * scenario. The same seed always draws the same one, so a seed that broke a rule can be written
- * down as a scenario.
+ * Generates the lines of a scenario with a small cluster in which two or three faults overlap at
+ * random times. The same seed always generates the same lines, so a seed that broke a rule can be
+ * kept as a scenario file.
  */
 final class RandomFaultCombinations {
+  /** The periods of heartbeats, leases and cancellations, in seconds. */
   private static final double[][] WORKER_PERIODS = {{2, 16, 46}, {4, 22, 52}, {5, 26, 56}};
+
   private static final double FAULTS_FROM_S = 15;
   private static final double FAULTS_UNTIL_S = 150;
   private static final double END_S = 330;
 
-  /** How a machine is out of reach, and how that ends. */
+  /** The steps that start and end each fault that makes a machine unreachable. */
   private static final String[][] MACHINE_FAULTS = {
     {"hang", "resume"}, {"mute", "unmute"}, {"deafen", "hears"}
   };
 
-  /** Which controllers end. */
+  /** The controllers that may crash. */
   private static final String[] CRASH_TARGETS = {
     "owner:red", "owner:blue", "holder:m:0", "holder:m:1", "leader", "all"
   };
 
+  /** Keeps these random numbers independent of those that generate the base scenario. */
   private static final long FREQUENT_POLLS_SALT = 0x9E3779B97F4A7C15L;
 
   private final Random random;
@@ -43,8 +46,9 @@
   }
 
   /**
-   * The same world, in which users look closely while the store's watches and its answers to
-   * transactions are slow or get lost. Drawn apart from all else.
+   * Generates the scenario of {@link #generate} with frequent polls by users, while the store's
+   * watches and answers to transactions are slow or lost. These values come from a generator of
+   * their own.
    */
   static List<String> generateWithFrequentPolls(long seed) {
     Random ownRandom = new Random(seed * FREQUENT_POLLS_SALT);
@@ -60,9 +64,10 @@
   }
 
   /**
-   * Teams at their limit change hands while jobs are cancelled whose machines hang, hear nothing or
-   * reach nobody, short of their lease. How many machines and controllers that meets is drawn anew
-   * after each, so that fewer are likelier.
+   * Generates a scenario in which teams at their limit change owners while their jobs are cancelled
+   * and machines hang, receive nothing or reach no controller for less than their lease. The
+   * numbers of affected machines and controllers are drawn again in each iteration, so small ones
+   * are likelier.
    */
   static List<String> generateAtTeamLimit(long seed) {
     Random ownRandom = new Random(seed);
@@ -107,7 +112,7 @@
     return String.format(Locale.ROOT, "at %.2f %s", at, step);
   }
 
-  /** Steps in the order of their times, behind what the world is made of. */
+  /** Returns the settings first, then the steps in order of time. */
   private static List<String> sortedByTime(List<String> lines) {
     List<String> sorted = new ArrayList<>(lines);
     sorted.sort(Comparator.comparingDouble(RandomFaultCombinations::timeOf));
@@ -140,7 +145,7 @@
       addFault(Math.min(FAULTS_UNTIL_S - 30, at + between(0, 15) * i), periods);
     }
     addGangs(seed);
-    // Whatever went on too long is over by now.
+    // Starts every controller that is still down.
     addStep(FAULTS_UNTIL_S + 10, "start all");
     List<Integer> order = new ArrayList<>();
     for (int i = 0; i < texts.size(); i++) {
@@ -154,8 +159,8 @@
   }
 
   /**
-   * Adds gangs, drawn apart from all else, so that the rest of a seed's world stays what it was
-   * before there were any.
+   * Adds gangs, drawn from a generator of their own, so that the other lines of a seed stay as they
+   * were before gangs were added.
    */
   private void addGangs(long seed) {
     Random ownRandom = new Random(~seed);
--- a/src/test/java/org/sandford/scenario/RandomFaultCombinationsTest.java
+++ b/src/test/java/org/sandford/scenario/RandomFaultCombinationsTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Plays meetings of troubles drawn by the seeds below under the same rules as the scenarios. More
- * of them by hand: {@code mvn test -Dtest=RandomFaultCombinationsTest -Dsandford.seeds=1000-1999},
- * and with {@code -Dsandford.close-looks-seeds=1000-1999} more of those in which users look
- * closely, with {@code -Dsandford.limit-seeds=1000-1999} of teams at their limit.
+ * Plays random combinations of faults, generated from the seeds below, under the same rules as the
+ * scenarios. To play other seeds: {@code mvn test -Dtest=RandomFaultCombinationsTest
+ * -Dsandford.seeds=1000-1999}; {@code -Dsandford.close-looks-seeds} sets those with frequent polls,
+ * {@code -Dsandford.limit-seeds} those with teams at their limit.
  */
 class RandomFaultCombinationsTest {
   private static final String SEEDS = System.getProperty("sandford.seeds", "1-40");
@@ -33,7 +33,7 @@
   @TestFactory
   Stream<DynamicTest> combinationsWithFrequentPolls() {
     return tests(
-        "close looks, seed ",
+        "frequent polls, seed ",
         FREQUENT_POLLS_SEEDS,
         RandomFaultCombinations::generateWithFrequentPolls);
   }
--- a/src/test/java/org/sandford/scenario/Rules.java
+++ b/src/test/java/org/sandford/scenario/Rules.java
@@ -9,22 +9,25 @@
 import org.sandford.scenario.AnswerHistory.RecordedAnswer;
 import org.sandford.scenario.AnswerHistory.Stage;
 
-/** The users' rules, checked against what really happens in the simulated world. */
+/** Checks the users' rules against the actual state of the simulated cluster. */
 final class Rules {
-  /** Milliseconds after which a cancellation is known to whoever may still order a start. */
+  /** Milliseconds after a confirmed cancellation by which every controller must know of it. */
   private static final int CANCEL_PROPAGATION_MS = 500;
 
-  /** Jobs of at least this part of their class's largest count among its largest. */
+  /**
+   * A job is one of the largest of its class if it has at least this share of the largest job's
+   * tasks.
+   */
   private static final double LARGEST_SHARE = 0.8;
 
   private final Simulation simulation;
   private final Scenario scenario;
   int startCount;
 
-  /** Tasks of jobs that were not cancelled which ended with their worker's lease. */
+  /** Counts tasks of jobs not cancelled that ended because their worker's lease expired. */
   int lostWithLease;
 
-  /** Since when a job waits although there is room for it. */
+  /** Holds the time since which each waiting job could have been scheduled. */
   private final Map<UserJob, Long> schedulableSince = new HashMap<>();
 
   Rules(Simulation simulation, Scenario scenario) {
@@ -34,7 +37,7 @@
     checkPeriodically();
   }
 
-  /** Checked when a task starts on a machine. */
+  /** Checks duplicates, placement, quota and cancellation when a task starts on a machine. */
   void checkStart(FakeWorker worker, FakeWorker.Held task) {
     startCount++;
     if (task.job.firstStartAt < 0 && !task.job.gang) {
@@ -53,7 +56,11 @@
         if (other.piece.equals(task.piece)) {
           simulation.recordViolation(
               "ran_twice",
-              task.piece + " starts on " + worker.machine.name + " while on " + machine.name);
+              task.piece
+                  + " starts on "
+                  + worker.machine.name
+                  + " while running on "
+                  + machine.name);
         }
         if (other.job.team.equals(task.job.team)) {
           teamCpus += other.job.cpus;
@@ -65,7 +72,7 @@
             && task.job.sameZone
             && !machine.zone.equals(worker.machine.zone)) {
           simulation.recordViolation(
-              "wrong_place", task.piece + " is not together with " + other.piece);
+              "wrong_place", task.piece + " is not in the same zone as " + other.piece);
         }
       }
     }
@@ -86,7 +93,7 @@
     checkNotCancelled(task, "starts");
   }
 
-  /** Checked when the last task of a gang has its image, and all begin to run. */
+  /** Checks that all tasks are present when the last one has its image and the gang starts. */
   void checkGangStart(UserJob job, Map<FakeWorker.Held, FakeWorker> members) {
     if (job.firstStartAt < 0) {
       job.firstStartAt = simulation.now();
@@ -100,8 +107,8 @@
   }
 
   /**
-   * Checked on every start that is ordered, when the order leaves: a cancelled job's task is not
-   * started any more.
+   * Checks, when orders are sent, that none starts a task of a job whose cancellation was
+   * confirmed.
    */
   void checkOrders(JsonNode orders) {
     for (JsonNode order : orders) {
@@ -146,8 +153,8 @@
   }
 
   /**
-   * Once the troubles are over, no job waits for 90 s while a machine that fits has room and its
-   * team is under its limit.
+   * Checks that, without faults, no job waits for 90 s while a suitable machine has free capacity
+   * and the team is under its limit.
    */
   private void checkWaiting(UserJob job) {
     long noFaultSince = Math.max(scenario.lastFaultAt(), job.submittedAt);
@@ -160,15 +167,16 @@
     long since =
         Math.max(noFaultSince, schedulableSince.computeIfAbsent(job, j -> simulation.now()));
     if (simulation.now() - since > 90_000 * Simulation.MS) {
-      simulation.recordViolation("left_waiting", job.id + " waits beside room for 90 s");
+      simulation.recordViolation(
+          "left_waiting", job.id + " has waited for 90 s although capacity is free");
       schedulableSince.put(job, Long.MAX_VALUE / 2);
     }
   }
 
   /**
-   * Checked at the end: at least half of each class, of each team and of a class's largest jobs was
-   * served, and the largest began within four minutes. Jobs that came in the last {@code graceS} do
-   * not count.
+   * Checks at the end that at least half of the jobs of each class, of each team and of each
+   * class's largest jobs started, and that the largest started within four minutes. Jobs submitted
+   * in the last {@code graceS} seconds are excluded.
    */
   void checkServed(double graceS) {
     Map<String, List<UserJob>> groups = new TreeMap<>();
@@ -194,7 +202,7 @@
         if (!startedInTime && simulation.now() - job.submittedAt > 240_000 * Simulation.MS) {
           simulation.recordViolation(
               "unserved",
-              job.id + ", one of the largest of its class, did not begin within four minutes");
+              job.id + ", one of the largest of its class, did not start within four minutes");
         }
       }
     }
@@ -204,14 +212,14 @@
           if (startedJobs * 2 < jobs.size()) {
             simulation.recordViolation(
                 "unserved",
-                "only " + startedJobs + " of " + jobs.size() + " jobs of " + name + " began");
+                "only " + startedJobs + " of " + jobs.size() + " jobs of " + name + " started");
           }
         });
   }
 
   /**
-   * Whether the services of its team leave room for one of its tasks; otherwise nobody could serve
-   * it.
+   * Returns whether the services of the job's team leave enough of the team's limit for one of its
+   * tasks, or for all tasks of a gang; without that the job can never start.
    */
   private boolean fitsTeamLimit(UserJob job) {
     double serviceCpus =
@@ -228,11 +236,11 @@
     return serviceCpus + neededCpus <= scenario.teamMaxCpus.get(job.team);
   }
 
-  /** Checked on the answer to a submission that is no valid job, or one that can never run. */
+  /** Checks the answer to a submission that is invalid or can never run. */
   void checkInvalidSubmission(String description, int status, int expected) {
     if (status != expected && status != 503 && status != 429 && status != 0) {
       simulation.recordViolation(
-          "accepted", description + " gets " + status + " and not " + expected);
+          "accepted", description + " got status " + status + " instead of " + expected);
     }
   }
 
@@ -240,26 +248,27 @@
 
   private final AnswerHistory history = new AnswerHistory();
 
-  /** Checked on every poll: once the troubles are over, a job stays known. */
+  /** Checks on every poll that, without faults, some poll of the job is answered within 75 s. */
   void checkPoll(UserJob job, int status, long lastFaultAt) {
     if (status == 200) {
       job.lastAnswerAt = simulation.now();
     } else if (simulation.now() - Math.max(job.lastAnswerAt, lastFaultAt)
         > 75_000 * Simulation.MS) {
       simulation.recordViolation(
-          "forgotten", "no question for " + job.id + " was answered for 75 s without any trouble");
+          "forgotten", "no poll of " + job.id + " was answered for 75 s without any fault");
     }
   }
 
   /**
-   * Checked on every answer to a user; true when it tells something new: that the job is accepted
+   * Checks an answer to a user. Returns true when it is the first to say that the job was accepted
    * or has ended.
    */
   boolean checkAnswer(
       String id, UserJob job, String controller, long askedAt, int status, String state) {
     if (status == 200 || status == 201) {
       if (job == null) {
-        simulation.recordViolation("invented", id + " is called " + state);
+        simulation.recordViolation(
+            "invented", id + " was never submitted and is reported as " + state);
         return false;
       }
       return checkJobStatus(
@@ -274,7 +283,7 @@
     }
     if (job != null && reportedStatuses.containsKey(id) && (status == 400 || status == 422)) {
       simulation.recordViolation(
-          "forgotten", id + " was accepted and gets " + status + " at " + controller);
+          "forgotten", id + " was accepted and got status " + status + " at " + controller);
     }
     return false;
   }
@@ -289,15 +298,17 @@
     boolean ended = previous != null && Stage.of(previous) == Stage.ENDED;
     boolean ends = answer.stage() == Stage.ENDED;
     if (ended && ends && !previous.equals(state)) {
-      simulation.recordViolation("went_back", id + " was " + previous + " and is called " + state);
+      simulation.recordViolation(
+          "went_back", id + " was " + previous + " and is reported as " + state);
     }
     if (state.equals("aborted") && !job.cancelRequested) {
-      simulation.recordViolation("went_back", id + " is called aborted, which nobody asked for");
+      simulation.recordViolation(
+          "went_back", id + " is reported as aborted, but no cancellation was requested");
     }
     if (state.equals("done") && job.finishedTasks.size() < job.tasks) {
       simulation.recordViolation(
           "not_done",
-          id + " is called done after " + job.finishedTasks.size() + " of " + job.tasks);
+          id + " is reported as done after " + job.finishedTasks.size() + " of " + job.tasks);
     }
     if (!ended) {
       reportedStatuses.put(id, state);
--- a/src/test/java/org/sandford/scenario/RulesTest.java
+++ b/src/test/java/org/sandford/scenario/RulesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.sandford.runtime.Json;
 
-/** Each check of the rules fails when its rule is broken. */
+/** Tests that each check of the rules reports a violation when its rule is broken. */
 class RulesTest {
   private final Scenario scenario =
       new Scenario("rules", List.of("team red 8 16", "team blue 8 16"));
@@ -119,14 +119,14 @@
     gang.gang = true;
     gang.cpus = 2;
     gang.tasks = 4;
-    assertTrue(scenario.hasCapacityFor(gang), "one machine holds all");
+    assertTrue(scenario.hasCapacityFor(gang), "one machine has room for all tasks");
     gang.sameZone = true;
     gang.tasks = 5;
-    assertFalse(scenario.hasCapacityFor(gang), "one zone does not hold all");
+    assertFalse(scenario.hasCapacityFor(gang), "one zone does not have room for all tasks");
     gang.sameZone = false;
-    assertTrue(scenario.hasCapacityFor(gang), "two zones do");
+    assertTrue(scenario.hasCapacityFor(gang), "two zones together have room for all tasks");
     gang.tasks = 9;
-    assertFalse(scenario.hasCapacityFor(gang), "its team's limit does not allow all");
+    assertFalse(scenario.hasCapacityFor(gang), "the team's limit does not allow all tasks");
   }
 
   @Test
@@ -134,7 +134,7 @@
     UserJob job = job("wk-1");
     FakeWorker machine = machine("a", false);
     startTask(machine, job, 0);
-    // Hanging keeps the lease from ending it.
+    // A hanging worker does not check its lease, so the task is not ended by it.
     machine.hang(true);
     job.cancelConfirmedAt = simulation.now();
     simulation.runUntil(scenario.script.cancelS - 1);
@@ -214,7 +214,7 @@
     assertViolations();
     answer("wk-1", job, simulation.now() + 1, 200, "running");
     answer("wk-1", job, overlapping, 200, "aborted");
-    // The last one is also called cancelled, which nobody asked for.
+    // The last answer breaks the rule twice: the state changed, and no cancellation was requested.
     assertViolations("went_back", "went_back", "went_back");
   }
 
--- a/src/test/java/org/sandford/scenario/Scenario.java
+++ b/src/test/java/org/sandford/scenario/Scenario.java
@@ -8,11 +8,12 @@
 import java.util.TreeMap;
 
 /**
- * Plays one scenario file: fake store, cloud and workers around real controllers on a simulated
- * clock, steps at set times, and expectations. The rules are checked all the time.
+ * Plays one scenario file: runs real controllers against a fake store, cloud and workers on a
+ * simulated clock, carries out steps at set times and checks expectations. The rules are checked
+ * throughout.
  */
 final class Scenario {
-  /** Seconds before the end in which jobs that come need not be served yet. */
+  /** Jobs submitted in this many seconds before the end need not have started. */
   private static final double SERVED_GRACE_S = 60;
 
   private record GangAttempt(String job, long attempt) {}
@@ -25,7 +26,7 @@
   final Map<String, UserJob> submitted = new TreeMap<>();
   final List<String> zones = new ArrayList<>(List.of("a", "b"));
 
-  /** CPUs that each team may use at once. */
+  /** The CPUs that each team may use at once. */
   final Map<String, Double> teamMaxCpus = new LinkedHashMap<>();
 
   private final SimulatedControllers controllers;
@@ -62,7 +63,7 @@
     steps.register("expect", expectations::check);
   }
 
-  /** Plays it and returns what went wrong: broken rules and expectations that were not met. */
+  /** Plays the scenario and returns violations of rules and expectations that were not met. */
   List<String> play() {
     for (String zone : zones) {
       for (int i = 0; i < script.machinesAtStart; i++) {
@@ -94,7 +95,7 @@
         simulation, this, new FakeCloud.Rented(machine, zones.get(0), false, simulation.now()));
   }
 
-  /** The gang that the task belongs to by its attempt. */
+  /** Returns the gang attempt that the task belongs to. */
   FakeGang gangOf(FakeWorker.Held task) {
     return gangs.computeIfAbsent(
         new GangAttempt(task.job.id, task.attempt),
--- a/src/test/java/org/sandford/scenario/ScenarioExpectations.java
+++ b/src/test/java/org/sandford/scenario/ScenarioExpectations.java
@@ -8,8 +8,8 @@
 import org.sandford.machine.MachineSnapshots;
 
 /**
- * The {@code expect} steps: each names a value, read at that moment, and what it must be; {@code
- * >=} and {@code <=} before a number bound it.
+ * Carries out {@code expect} steps. Each names a value, which is read at that moment, and the
+ * expected one; {@code >=} or {@code <=} before a number makes it a bound.
  */
 final class ScenarioExpectations {
   private final FakeCloud cloud;
@@ -37,12 +37,12 @@
     registerValues();
   }
 
-  /** Expectations that were not met, with the place of each. */
+  /** Returns the expectations that were not met, each with its file and line. */
   List<String> failures() {
     return failures;
   }
 
-  /** The counters of work are counted from here on. */
+  /** Resets the counters of snapshots and assignment map writes to zero. */
   void resetCounts() {
     snapshotReadsBefore = controllers.sum(MachineSnapshots::readCount);
     snapshotsReceivedBefore = controllers.sum(MachineSnapshots::receivedCount);
@@ -55,9 +55,9 @@
     values.put("running", step -> runningTasks(step.word(2)));
     values.put("started", step -> rules.startCount);
     values.put("machines", step -> cloud.machines.size());
-    // All that were ever rented.
+    // Counts all machines that were ever rented.
     values.put("rented", step -> cloud.rentedCount());
-    // Work of all controllers since the last "count".
+    // Counts work of all controllers since the last "count" step.
     values.put("looks", step -> controllers.sum(MachineSnapshots::readCount) - snapshotReadsBefore);
     values.put(
         "views",
@@ -78,7 +78,8 @@
     String actual = String.valueOf(value.apply(step));
     String expected = step.word(step.words().size() - 1);
     if (!matches(actual, expected)) {
-      failures.add(step.file() + ":" + step.line() + ": " + step.text() + ": got " + actual);
+      failures.add(
+          step.file() + ":" + step.line() + ": " + step.text() + ": actual value " + actual);
     }
   }
 
--- a/src/test/java/org/sandford/scenario/ScenarioHosts.java
+++ b/src/test/java/org/sandford/scenario/ScenarioHosts.java
@@ -9,9 +9,9 @@
 import java.util.function.Function;
 import org.sandford.cluster.Cluster;
 
-/** Resolves the names that steps use for controllers, machines and their workers. */
+/** Resolves the words that steps use for controllers, machines and their workers. */
 final class ScenarioHosts {
-  /** Prefix of the keys that hold the machines' partitions of the assignment map. */
+  /** The prefix of the keys that hold the machines' partitions of the assignment map. */
   private static final String MACHINES_PARTITION_PREFIX = "c/machines/";
 
   private final Simulation simulation;
@@ -22,7 +22,7 @@
   private final Function<String, FakeWorker> absentWorker;
   private final Map<String, String> machinesByWord = new HashMap<>();
 
-  /** Takes {@code absentWorker} to make a worker for a machine that no longer exists. */
+  /** Uses {@code absentWorker} to create a worker for a machine that no longer exists. */
   ScenarioHosts(
       Simulation simulation,
       FakeStore store,
@@ -38,7 +38,7 @@
     this.absentWorker = absentWorker;
   }
 
-  /** The controllers and machines of a zone. */
+  /** Returns the controllers and machines of a zone. */
   Set<String> hostsInZone(String zone) {
     Set<String> hosts = new HashSet<>(machinesInZone(zone));
     List<String> labels = controllers.labels();
@@ -51,9 +51,9 @@
   }
 
   /**
-   * A controller's label; {@code leader} is the one that leads now, {@code owner:red} the one that
-   * owns the team, and {@code holder:m:1} the one that owns the machine, all by the store, or any
-   * that runs.
+   * Returns a controller's label. {@code leader} is the present leader, {@code owner:red} the owner
+   * of the team and {@code holder:m:1} the owner of the machine, all as stored; if that one does
+   * not run, any running controller is returned.
    */
   String controller(String word) {
     String id;
@@ -70,13 +70,13 @@
     return controllers.isRunning(label) ? label : controllers.anyRunning();
   }
 
-  /** The life that owns the team by the assignment map in the store, or an empty text. */
+  /** Returns the member id of the team's owner in the stored assignment map, or an empty string. */
   private String teamOwner(String team) {
     JsonNode teamsRecord = store.value(Cluster.TEAMS_KEY);
     return teamsRecord == null ? "" : teamsRecord.path("t").path(team).path(0).asText();
   }
 
-  /** The life that owns the machine by the assignment map in the store, or an empty text. */
+  /** Returns the member id of the machine's owner in the stored map, or an empty string. */
   private String machineOwner(String machine) {
     String owner = "";
     for (int partition = 0; store.has(MACHINES_PARTITION_PREFIX + partition); partition++) {
@@ -94,7 +94,7 @@
     return record == null ? "" : record.path(field).asText();
   }
 
-  /** The machines of a zone, which no controller is in that could still reach them. */
+  /** Returns the machines of a zone, without its controllers. */
   List<String> machinesInZone(String zone) {
     return cloud.machines.values().stream()
         .filter(m -> m.zone.equals(zone))
@@ -107,8 +107,8 @@
   }
 
   /**
-   * A host's name; {@code of:wk-1/0} is the machine that runs the task, and {@code m:2} the third
-   * machine that was up when the word was first used, which it goes on to mean.
+   * Returns a host's name. {@code of:wk-1/0} is the machine that runs the task. {@code m:2} is the
+   * third machine that was up when the word was first used, and keeps that meaning.
    */
   String host(String word) {
     if (word.startsWith("m:")) {
@@ -138,7 +138,7 @@
   }
 
   /**
-   * The worker of a machine; one that was given back meanwhile may still be named, and does
+   * Returns the worker of a machine; for a machine that was returned to the cloud, one that does
    * nothing.
    */
   FakeWorker worker(String word) {
--- a/src/test/java/org/sandford/scenario/ScenarioScript.java
+++ b/src/test/java/org/sandford/scenario/ScenarioScript.java
@@ -9,11 +9,11 @@
 import org.sandford.settings.Settings;
 
 /**
- * A parsed scenario: the cluster that it asks for, and its steps in order of time. A line is a
+ * Holds a parsed scenario: the settings of its cluster, and its steps in order of time. A line is a
  * setting with its values, or {@code at SECONDS STEP ...}; {@code #} begins a comment.
  */
 final class ScenarioScript {
-  /** One step, with its place in the file for complaints. */
+  /** Holds one step, with its file and line for error messages. */
   record Step(double at, String file, int line, String text, List<String> words) {
     String verb() {
       return words.get(0);
@@ -35,7 +35,7 @@
       return Double.parseDouble(words.get(index));
     }
 
-    /** Whether the word is {@code on}. */
+    /** Returns whether the word is {@code on}. */
     boolean isOn(int index) {
       return words.get(index).equals("on");
     }
@@ -47,7 +47,7 @@
 
   final List<Step> steps = new ArrayList<>();
 
-  /** Teams by name, with guarantee and limit. */
+  /** The teams by name, with guarantee and limit. */
   final Map<String, Settings.Team> teams = new LinkedHashMap<>();
 
   final double reportS;
@@ -56,7 +56,7 @@
   long seed = 7;
   int controllers = 3;
 
-  /** Machines that the cloud has in each zone, spot and ordinary ones each. */
+  /** The number of spot machines, and of on-demand machines, that the cloud has in each zone. */
   int poolSize = 4;
 
   int machinesAtStart = 1;
@@ -65,14 +65,14 @@
   double writeRps = 50;
 
   /**
-   * The limits that the store will have from some moment after the upgrade; 0 when it keeps its
-   * own. A production version does not know them.
+   * The limits that the store will have at some time after the upgrade; 0 when they don't change.
+   * The production version does not know them.
    */
   int nextValueBytes;
 
   int nextTxnOps;
 
-  /** Whether controllers behave as the production version does until they are upgraded. */
+  /** Whether controllers run the production version until they are upgraded. */
   boolean startsWithProductionVersion;
 
   double gangWaitS = 30;
@@ -81,7 +81,7 @@
 
   private final Map<String, Consumer<Step>> settings = new HashMap<>();
 
-  /** Parses with the periods of heartbeats, leases and cancellations given as {@code workers}. */
+  /** Parses a scenario with the given periods of heartbeats, leases and cancellations. */
   ScenarioScript(String name, List<String> lines, double[] workerPeriods) {
     reportS = workerPeriods[0];
     leaseS = workerPeriods[1];
@@ -99,8 +99,8 @@
   }
 
   /**
-   * The periods of heartbeats, leases and cancellations that a scenario file asks for, or the usual
-   * ones.
+   * Returns the periods of heartbeats, leases and cancellations of each {@code workers} line, or
+   * the default ones.
    */
   static List<double[]> workerPeriods(List<String> lines) {
     List<double[]> out = new ArrayList<>();
@@ -122,7 +122,7 @@
     settings.put("seed", line -> seed = Long.parseLong(line.word(1)));
     settings.put("controllers", line -> controllers = line.intAt(1));
     settings.put("pool", line -> poolSize = line.intAt(1));
-    settings.put("workers", line -> {}); // Read by workers().
+    settings.put("workers", line -> {}); // Read by workerPeriods().
     settings.put("machines", line -> machinesAtStart = line.intAt(1));
     settings.put("value_bytes", line -> valueBytes = line.intAt(1));
     settings.put("next_limits", this::readNextLimits);
@@ -165,6 +165,7 @@
   }
 
   private static IllegalArgumentException syntaxError(String file, int line, String text) {
-    return new IllegalArgumentException(file + ":" + line + ": not understood: " + text);
+    return new IllegalArgumentException(
+        file + ":" + line + ": unknown step, setting or value: " + text);
   }
 }
--- a/src/test/java/org/sandford/scenario/ScenarioSteps.java
+++ b/src/test/java/org/sandford/scenario/ScenarioSteps.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The steps of scenarios by their verb: what users do, and what befalls the cluster. */
+/** Carries out the steps of scenarios by their verb: actions of users and faults of the cluster. */
 final class ScenarioSteps {
   private final Simulation simulation;
   private final ScenarioScript script;
@@ -41,7 +41,7 @@
     registerMachines();
   }
 
-  /** Adds a verb that is carried out elsewhere. */
+  /** Registers a verb and the action that carries it out. */
   void register(String verb, Consumer<ScenarioScript.Step> step) {
     steps.put(verb, step);
   }
--- a/src/test/java/org/sandford/scenario/ScenarioTest.java
+++ b/src/test/java/org/sandford/scenario/ScenarioTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays every scenario file; each must break no rule and meet its expectations. */
+/** Plays every scenario file; each must violate no rule and meet its expectations. */
 class ScenarioTest {
   private static final Path FILES = Path.of("src/test/resources/scenarios");
 
@@ -27,7 +27,7 @@
     return files.stream().flatMap(ScenarioTest::plays);
   }
 
-  /** One play for each setting of reports and leases that the file names. */
+  /** Returns one test for each {@code workers} line of the file. */
   private static Stream<DynamicTest> plays(Path file) {
     try {
       String name = file.getFileName().toString();
--- a/src/test/java/org/sandford/scenario/ScenarioUsers.java
+++ b/src/test/java/org/sandford/scenario/ScenarioUsers.java
@@ -7,17 +7,17 @@
 import org.sandford.runtime.Json;
 
 /**
- * The users of a scenario: they submit jobs, retry and poll by the published protocol, cancel, and
- * have each answer checked by the rules.
+ * Simulates the users of a scenario: submits, retries, polls and cancels jobs by the published
+ * protocol, and has each answer checked by the rules.
  */
 final class ScenarioUsers {
-  /** Milliseconds for which users poll closely after news of a job. */
+  /** Milliseconds for which users poll frequently after a change of a job. */
   private static final int FREQUENT_POLLING_MS = 1_500;
 
   /** Milliseconds between two such polls. */
   private static final int FREQUENT_POLL_INTERVAL_MS = 15;
 
-  /** Takes the answer to a request; status 0 stands for none. */
+  /** Handles the answer to a request; status 0 means that there was none. */
   private interface AnswerHandler {
     void answer(int status, JsonNode body);
   }
@@ -29,10 +29,10 @@
   private final Rules rules;
   private final TroubleWatch faultMonitor;
 
-  /** Whether users cancel, poll and repeat a job at the moment at which its last task ends. */
+  /** Whether users cancel, poll and resubmit a job when its last task ends. */
   private boolean cancelsAtEnd;
 
-  /** Whether users poll all controllers within milliseconds of news. */
+  /** Whether users poll all controllers every few milliseconds after a change of a job. */
   private boolean frequentPolling;
 
   private boolean sendsInvalidRequests;
@@ -66,7 +66,7 @@
     sendInvalidRequest();
   }
 
-  /** Submits a job of the step's words once more, as its user would. */
+  /** Submits the same job once more, as its user would. */
   void resubmit(String id) {
     UserJob job = submitted.get(id);
     sendSubmission(job, job.team, simulation.now());
@@ -76,7 +76,9 @@
     cancel(submitted.get(id), controller);
   }
 
-  /** The moment at which a job's last task ends: users may meet it. */
+  /**
+   * Polls, cancels and resubmits the job when its last task ends, as far as the steps ask for it.
+   */
   void onLastTaskDone(UserJob job) {
     pollFrequently(job);
     if (cancelsAtEnd && !job.cancelRequested) {
@@ -86,7 +88,7 @@
     }
   }
 
-  /** Users' mistakes, one after the other, each with the answer that it has to get. */
+  /** Sends submissions with different mistakes in turn and checks the status of each answer. */
   private void sendInvalidRequest() {
     if (!sendsInvalidRequests) {
       return;
@@ -194,7 +196,7 @@
                         to, "users", () -> once.answer(response.status(), response.body()))));
   }
 
-  /** Takes an answer; on news, users may look closely at once. */
+  /** Checks an answer; if it reports a change, users may start to poll frequently. */
   private void handleAnswer(String id, String controller, long askedAt, int status, String state) {
     UserJob job = submitted.get(id);
     if (rules.checkAnswer(id, job, controller, askedAt, status, state)) {
@@ -202,7 +204,7 @@
     }
   }
 
-  /** Users who look closely ask at all controllers again and again, and repeat the submission. */
+  /** Polls all controllers repeatedly and resubmits the job, if frequent polling is on. */
   private void pollFrequently(UserJob job) {
     if (frequentPolling) {
       for (int ms = 0; ms < FREQUENT_POLLING_MS; ms += FREQUENT_POLL_INTERVAL_MS) {
@@ -218,7 +220,7 @@
     }
   }
 
-  /** Submits a job that was accepted once more, and does not follow it a second time. */
+  /** Submits an accepted job once more, without scheduling further polls. */
   private void repeatSubmission(UserJob job, String label) {
     long askedAt = simulation.now();
     request(
--- a/src/test/java/org/sandford/scenario/SimulatedControllers.java
+++ b/src/test/java/org/sandford/scenario/SimulatedControllers.java
@@ -11,7 +11,7 @@
 import org.sandford.machine.MachineSnapshots;
 import org.sandford.settings.Settings;
 
-/** The real controllers of a scenario, as processes that start, crash and stand still. */
+/** Runs the real controllers of a scenario as processes that start, crash and freeze. */
 final class SimulatedControllers {
   private final Simulation simulation;
   private final ScenarioScript script;
@@ -22,7 +22,7 @@
   private final Map<String, Simulation.ProcessLoop> processes = new TreeMap<>();
   private final Map<String, Controller> running = new TreeMap<>();
 
-  /** Whether processes that start now are of this version, and not of the one in production. */
+  /** Whether processes that start now run this version instead of the production version. */
   private boolean upgraded;
 
   SimulatedControllers(
@@ -43,7 +43,7 @@
     upgraded = true;
   }
 
-  /** Labels of all controllers of the settings, those that are down included. */
+  /** Returns the labels of all configured controllers, including those that are down. */
   List<String> labels() {
     List<String> labels = new ArrayList<>();
     for (int i = 0; i < script.controllers; i++) {
@@ -68,7 +68,7 @@
     return running.keySet();
   }
 
-  /** A running controller drawn by the simulation's random numbers. */
+  /** Returns a running controller chosen at random, or c0 if none runs. */
   String anyRunning() {
     List<String> labels = new ArrayList<>(running.keySet());
     return labels.isEmpty() ? "c0" : labels.get(simulation.random.nextInt(labels.size()));
@@ -146,7 +146,7 @@
   }
 
   private Settings.Facts facts() {
-    // The production version obeys the present limits alone.
+    // The production version knows only the present limits.
     boolean knowsNextLimits = upgraded && script.nextValueBytes > 0;
     int valueBytes =
         knowsNextLimits ? Math.min(script.valueBytes, script.nextValueBytes) : script.valueBytes;
--- a/src/test/java/org/sandford/scenario/SimulatedHttpTransport.java
+++ b/src/test/java/org/sandford/scenario/SimulatedHttpTransport.java
@@ -6,7 +6,8 @@
 import org.sandford.runtime.Json;
 
 /**
- * HTTP as one process makes it: held back by cuts, refused by dead hosts, given up after a time.
+ * Simulates the HTTP requests of one process: cuts hold them back, dead hosts refuse them, and they
+ * time out.
  */
 final class SimulatedHttpTransport implements HttpTransport {
   private final Simulation simulation;
--- a/src/test/java/org/sandford/scenario/SimulatedPeerTransport.java
+++ b/src/test/java/org/sandford/scenario/SimulatedPeerTransport.java
@@ -4,7 +4,7 @@
 import java.util.function.Supplier;
 import org.sandford.runtime.PeerTransport;
 
-/** Peer connections of one process. */
+/** Simulates the peer connections of one process. */
 final class SimulatedPeerTransport implements PeerTransport {
   private final Simulation simulation;
   private final Simulation.ProcessLoop loop;
--- a/src/test/java/org/sandford/scenario/Simulation.java
+++ b/src/test/java/org/sandford/scenario/Simulation.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.sandford.runtime.EventLoop;
 
-/** Simulated time and network: one queue of events, run in order, the same on every run. */
+/** Simulates time and network with one queue of events; every run with a seed is the same. */
 final class Simulation {
   private record Event(long at, long order, Runnable action) implements Comparable<Event> {
     @Override
@@ -23,7 +23,7 @@
     }
   }
 
-  /** A cut holds messages back and delivers them when it heals, or loses them. */
+  /** Whether a cut holds messages back until it is healed, or loses them. */
   enum Cut {
     HOLD,
     LOSE
@@ -31,13 +31,13 @@
 
   static final long MS = 1_000_000L;
 
-  /** Whether copies of workers' reports come late: from seconds to well over a lease. */
+  /** Whether copies of workers' reports arrive late, by 1 s to three lease periods. */
   boolean lateReports;
 
-  /** Whether late copies of requests follow now and then, which also puts them out of order. */
+  /** Whether some requests are followed by a late copy, which can arrive out of order. */
   boolean duplicates;
 
-  /** Milliseconds by which such a copy is late at the most. */
+  /** The maximum delay of such a copy, in milliseconds. */
   int duplicatesLateMs = 2_000;
 
   final Random random;
@@ -47,15 +47,13 @@
   private final Map<String, ArrayDeque<Runnable>> heldMessages = new LinkedHashMap<>();
   private final Map<String, Long> lastArrival = new HashMap<>();
 
-  /**
-   * Hosts of a zone that is cut off from all outside it, and goes on inside; empty when none is.
-   */
+  /** Hosts that reach each other but no host outside the set; empty when none are isolated. */
   private final Set<String> isolatedHosts = new HashSet<>();
 
-  /** Milliseconds that every message takes longer. */
+  /** The delay added to every message, in milliseconds. */
   int messageDelayMs;
 
-  /** Hears of all orders that go straight to a worker, when they leave. */
+  /** Receives all orders that controllers send directly to a worker, when they are sent. */
   java.util.function.Consumer<com.fasterxml.jackson.databind.JsonNode> ordersSent = orders -> {};
 
   private final Set<String> deadHosts = new HashSet<>();
@@ -105,7 +103,7 @@
     cutOneWay(b, a, kind);
   }
 
-  /** Only what goes from the one to the other is held back or lost. */
+  /** Cuts one direction: only messages from the first host to the second are affected. */
   void cutOneWay(String from, String to, Cut kind) {
     cuts.put(link(from, to), kind);
   }
@@ -115,7 +113,7 @@
   }
 
   /**
-   * Cuts these hosts off from all others, which holds back what is said; an empty set ends that.
+   * Isolates these hosts from all others and holds messages back; an empty set ends the isolation.
    */
   void isolate(Set<String> hosts) {
     isolatedHosts.clear();
@@ -141,7 +139,7 @@
     }
   }
 
-  /** The cut between two hosts, or null; {@code *} stands for every host. */
+  /** Returns the cut between two hosts, or null; {@code *} stands for every host. */
   Cut cutBetween(String from, String to) {
     if (isolatedHosts.contains(from) != isolatedHosts.contains(to)) {
       return Cut.HOLD;
@@ -166,7 +164,7 @@
     return deadHosts.contains(host);
   }
 
-  /** Carries a message; messages between the same two hosts stay in order. */
+  /** Delivers a message unless a cut affects it; those between the same two hosts stay in order. */
   void carry(String from, String to, Runnable arrive) {
     Cut cut = cutBetween(from, to);
     if (cut == Cut.LOSE) {
@@ -182,12 +180,12 @@
     at(arrival, arrive);
   }
 
-  /** The loop of one life of one process; what it queued dies with it. */
+  /** The event loop of one process; its queued events are discarded when the process dies. */
   final class ProcessLoop implements EventLoop {
     private final double drift;
     boolean alive = true;
 
-    /** Until then the process stands still while its clocks run on. */
+    /** The time until which the process is frozen while its clocks run on. */
     private long frozenUntil;
 
     ProcessLoop(double drift) {
@@ -207,7 +205,7 @@
       return now < frozenUntil;
     }
 
-    /** Runs it now, or, in the order in which it came, once the process goes on. */
+    /** Runs the action now, or in order of arrival once the process is no longer frozen. */
     void whenAwake(Runnable action) {
       if (now < frozenUntil) {
         Simulation.this.at(frozenUntil, () -> whenAwake(action));
--- a/src/test/java/org/sandford/scenario/TroubleWatch.java
+++ b/src/test/java/org/sandford/scenario/TroubleWatch.java
@@ -1,6 +1,6 @@
 package org.sandford.scenario;
 
-/** Knows when there was trouble in the cluster last: now, or when the last of it ended. */
+/** Records when the cluster last had a fault: now, or the time at which the last one ended. */
 final class TroubleWatch {
   private static final int CHECK_INTERVAL_MS = 500;
 
@@ -18,18 +18,18 @@
     this.cloud = cloud;
   }
 
-  /** Begins to check periodically. */
+  /** Starts checking periodically. */
   void start() {
     checkForFaults();
     simulation.after(CHECK_INTERVAL_MS, this::start);
   }
 
-  /** The time as of the last check, without another one. */
+  /** Returns the time of the last fault as of the last check. */
   long lastFaultAt() {
     return lastFaultAt;
   }
 
-  /** Checks, and returns the time of the last trouble. */
+  /** Checks for faults now and returns the time of the last one. */
   long checkForFaults() {
     if (hasFault()) {
       lastFaultAt = simulation.now();
--- a/src/test/java/org/sandford/scenario/UserJob.java
+++ b/src/test/java/org/sandford/scenario/UserJob.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** A job as its user knows it. */
+/** Holds a job as its user knows it, and what the simulation observes of it. */
 final class UserJob {
   String id;
   String team = "red";
@@ -21,22 +21,22 @@
   boolean tasksFail;
   boolean gang;
 
-  /** Progress of a gang that its next attempt starts from. */
+  /** The saved progress from which the next attempt of a gang starts. */
   double savedProgressS;
 
   double progressAtStopS;
 
-  /**
-   * How often a gang ran with all its tasks, and how often it was stopped with its progress saved.
-   */
+  /** Counts the times that a gang ran with all its tasks. */
   int gangRuns;
 
+  /** Counts the times that a gang was stopped with its progress saved. */
   int orderlyStops;
+
   String zone = "";
   double checkpointIntervalS;
   String jobClass = "any";
 
-  /** Run times of single tasks, by number; the others run as long as the job says. */
+  /** The run times of the first tasks, by task number; the others run for {@code runS}. */
   final List<Double> taskRunTimesS = new ArrayList<>();
 
   final Set<String> finishedTasks = new HashSet<>();
@@ -46,7 +46,7 @@
   long submittedAt;
   long lastAnswerAt;
 
-  /** When its first task started. */
+  /** The time at which its first task started, or its gang first ran; -1 before that. */
   long firstStartAt = -1;
 
   double runTimeSOf(int task) {
