--- a/src/test/java/org/sandford/scenario/FakeCloud.java
+++ b/src/test/java/org/sandford/scenario/FakeCloud.java
@@ -97,9 +97,9 @@
         long usedOfPool =
             machines.values().stream()
                 .filter(
-                    m ->
-                        m.zone.equals(request.path("site").asText())
-                            && m.spot == request.path("reclaimable").asBoolean())
+                    machine ->
+                        machine.zone.equals(request.path("site").asText())
+                            && machine.spot == request.path("reclaimable").asBoolean())
                 .count();
         for (int i = 0;
             i < request.path("number").asInt() && usedOfPool + i < scenario.script.poolSize;
@@ -123,12 +123,13 @@
     } else {
       ObjectNode answer = Json.object().put("more", false);
       ArrayNode hosts = answer.putArray("hosts");
-      for (Rented m : machines.values()) {
-        if (simulation.now() - m.rentedAt > 5_000 * Simulation.MS) {
-          ObjectNode host = hosts.addObject().put("name_id", m.name).put("addr", m.name + ":90");
-          host.put("machine_kind", "m8").put("site", m.zone).put("reclaimable", m.spot);
-          host.put("status", m.worker == null ? "booting" : "running");
-          host.put("held_s", (simulation.now() - m.rentedAt) / 1e9);
+      for (Rented machine : machines.values()) {
+        if (simulation.now() - machine.rentedAt > 5_000 * Simulation.MS) {
+          ObjectNode host =
+              hosts.addObject().put("name_id", machine.name).put("addr", machine.name + ":90");
+          host.put("machine_kind", "m8").put("site", machine.zone).put("reclaimable", machine.spot);
+          host.put("status", machine.worker == null ? "booting" : "running");
+          host.put("held_s", (simulation.now() - machine.rentedAt) / 1e9);
         }
       }
       respond.accept(new Response(200, answer));
--- a/src/test/java/org/sandford/scenario/FakeStore.java
+++ b/src/test/java/org/sandford/scenario/FakeStore.java
@@ -17,13 +17,13 @@
 
 /** Simulates the state service by its published protocol, with outages and refused hosts. */
 final class FakeStore implements FakeServer {
-  private record Item(JsonNode value, long stamp, long hold) {}
+  private record Item(JsonNode value, long stamp, long holdId) {}
 
   private record Change(String key, JsonNode value, long stamp) {}
 
   private static final class Hold {
     long ttlMs;
-    long until;
+    long expiresAt;
   }
 
   @SuppressWarnings("ArrayRecordComponent") // The flag is shared by all users of the watcher.
@@ -97,7 +97,7 @@
     outage = on;
     if (!on) {
       // After an outage every hold has its full TTL again.
-      holds.values().forEach(h -> h.until = simulation.now() + h.ttlMs * Simulation.MS);
+      holds.values().forEach(h -> h.expiresAt = simulation.now() + h.ttlMs * Simulation.MS);
       answerWatchers();
     }
   }
@@ -112,7 +112,7 @@
         || maxAnswerDelayMs > 0;
   }
 
-  boolean has(String key) {
+  boolean containsKey(String key) {
     return items.containsKey(key);
   }
 
@@ -125,7 +125,7 @@
   private void expireHolds() {
     if (!outage) {
       for (Map.Entry<Long, Hold> e : new ArrayList<>(holds.entrySet())) {
-        if (e.getValue().until < simulation.now()) {
+        if (e.getValue().expiresAt < simulation.now()) {
           endHold(e.getKey());
         }
       }
@@ -133,11 +133,11 @@
     simulation.after(20, this::expireHolds);
   }
 
-  private void endHold(long hold) {
-    holds.remove(hold);
+  private void endHold(long holdId) {
+    holds.remove(holdId);
     List<String> keys =
         items.entrySet().stream()
-            .filter(e -> e.getValue().hold == hold)
+            .filter(e -> e.getValue().holdId == holdId)
             .map(Map.Entry::getKey)
             .toList();
     if (!keys.isEmpty()) {
@@ -147,11 +147,11 @@
     }
   }
 
-  private void change(String key, JsonNode value, long hold) {
+  private void change(String key, JsonNode value, long holdId) {
     if (value == null) {
       items.remove(key);
     } else {
-      items.put(key, new Item(value, epoch, hold));
+      items.put(key, new Item(value, epoch, holdId));
     }
     changes.add(new Change(key, value, epoch));
     if (value != null && key.startsWith("c/machines")) {
@@ -193,7 +193,7 @@
     } else if (path.equals("/holds")) {
       Hold hold = new Hold();
       hold.ttlMs = Json.read(body).path("ttl_ms").asLong();
-      hold.until = simulation.now() + hold.ttlMs * Simulation.MS;
+      hold.expiresAt = simulation.now() + hold.ttlMs * Simulation.MS;
       holds.put(++lastHoldId, hold);
       respond.accept(new Response(200, Json.object().put("permit", lastHoldId)));
     } else if (path.startsWith("/holds/")) {
@@ -201,7 +201,7 @@
       if (hold == null) {
         respond.accept(new Response(404, Json.object()));
       } else {
-        hold.until = simulation.now() + hold.ttlMs * Simulation.MS;
+        hold.expiresAt = simulation.now() + hold.ttlMs * Simulation.MS;
         respond.accept(new Response(200, Json.object()));
       }
     } else if (path.startsWith("/store?")) {
--- a/src/test/java/org/sandford/scenario/FakeWorker.java
+++ b/src/test/java/org/sandford/scenario/FakeWorker.java
@@ -378,7 +378,7 @@
   }
 
   private void start(String piece, long attempt, String key) {
-    UserJob job = scenario.submitted.get(piece.substring(0, piece.indexOf('/')));
+    UserJob job = scenario.submittedJobs.get(piece.substring(0, piece.indexOf('/')));
     Held task = new Held(piece, attempt, job);
     tasks.put(key, task);
     scheduleReport();
@@ -403,12 +403,12 @@
     simulation.after(200, () -> run(task, key));
   }
 
-  private boolean holds(Held task, String key) {
+  private boolean stillHas(Held task, String key) {
     return !terminated && tasks.get(key) == task;
   }
 
   private void run(Held task, String key) {
-    if (!holds(task, key) || !task.status.equals("pulling")) {
+    if (!stillHas(task, key) || !task.status.equals("pulling")) {
       return;
     }
     if (hanging) {
@@ -434,7 +434,7 @@
   }
 
   private void finish(Held task, String key) {
-    if (holds(task, key) && task.status.equals("running")) {
+    if (stillHas(task, key) && task.status.equals("running")) {
       if (hanging) {
         deferredActions.add(() -> finish(task, key));
       } else {
--- a/src/test/java/org/sandford/scenario/FreeCapacity.java
+++ b/src/test/java/org/sandford/scenario/FreeCapacity.java
@@ -25,7 +25,7 @@
    */
   boolean hasCapacityFor(UserJob job) {
     if (job.gang) {
-      return gangFits(job);
+      return hasCapacityForGang(job);
     }
     Set<String> placed = new HashSet<>();
     Map<String, Integer> placedByZone = new HashMap<>();
@@ -74,7 +74,7 @@
    * Returns whether all tasks of a gang that does not run fit suitable machines at once, and its
    * team's limit.
    */
-  private boolean gangFits(UserJob gang) {
+  private boolean hasCapacityForGang(UserJob gang) {
     Map<String, Integer> slotsByZone = new HashMap<>();
     double teamCpus = 0;
     int runningTasks = 0;
--- a/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
+++ b/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
@@ -34,7 +34,7 @@
 
   private final Random random;
   private final List<double[]> times = new ArrayList<>();
-  private final List<String> texts = new ArrayList<>();
+  private final List<String> steps = new ArrayList<>();
   private int machines;
 
   private RandomFaultCombinations(long seed) {
@@ -140,20 +140,20 @@
       addJob(i);
     }
     int faults = 2 + random.nextInt(2);
-    double at = between(FAULTS_FROM_S, FAULTS_UNTIL_S - 60);
+    double at = randomBetween(FAULTS_FROM_S, FAULTS_UNTIL_S - 60);
     for (int i = 0; i < faults; i++) {
-      addFault(Math.min(FAULTS_UNTIL_S - 30, at + between(0, 15) * i), periods);
+      addFault(Math.min(FAULTS_UNTIL_S - 30, at + randomBetween(0, 15) * i), periods);
     }
     addGangs(seed);
     // Starts every controller that is still down.
     addStep(FAULTS_UNTIL_S + 10, "start all");
     List<Integer> order = new ArrayList<>();
-    for (int i = 0; i < texts.size(); i++) {
+    for (int i = 0; i < steps.size(); i++) {
       order.add(i);
     }
     order.sort((a, b) -> Double.compare(times.get(a)[0], times.get(b)[0]));
     for (int i : order) {
-      lines.add(String.format(Locale.ROOT, "at %.2f %s", times.get(i)[0], texts.get(i)));
+      lines.add(String.format(Locale.ROOT, "at %.2f %s", times.get(i)[0], steps.get(i)));
     }
     return lines;
   }
@@ -167,55 +167,55 @@
     int gangs = 1 + ownRandom.nextInt(2);
     for (int i = 0; i < gangs; i++) {
       String id = "wk-" + (300 + i);
-      double when = 3 + ownRandom.nextDouble() * 140;
-      StringBuilder text = new StringBuilder("submit ").append(id).append(" gang");
-      text.append(ownRandom.nextBoolean() ? " team=red" : " team=blue");
-      text.append(" tasks=")
+      double at = 3 + ownRandom.nextDouble() * 140;
+      StringBuilder step = new StringBuilder("submit ").append(id).append(" gang");
+      step.append(ownRandom.nextBoolean() ? " team=red" : " team=blue");
+      step.append(" tasks=")
           .append(2 + ownRandom.nextInt(4))
           .append(" cpus=")
           .append(1 + ownRandom.nextInt(2));
-      text.append(" run=")
+      step.append(" run=")
           .append(5 + ownRandom.nextInt(50))
           .append(ownRandom.nextBoolean() ? " together" : "");
-      text.append(ownRandom.nextBoolean() ? " save=10" : "")
+      step.append(ownRandom.nextBoolean() ? " save=10" : "")
           .append(ownRandom.nextInt(3) == 0 ? " rank=urgent" : "");
-      addStep(when, text.toString());
+      addStep(at, step.toString());
       if (ownRandom.nextInt(4) == 0) {
-        addStep(when + 1 + ownRandom.nextDouble() * 30, "abort " + id);
+        addStep(at + 1 + ownRandom.nextDouble() * 30, "abort " + id);
       }
     }
   }
 
-  private double between(double from, double to) {
+  private double randomBetween(double from, double to) {
     return from + random.nextDouble() * (to - from);
   }
 
-  private void addStep(double when, String step) {
-    times.add(new double[] {when});
-    texts.add(step);
+  private void addStep(double at, String step) {
+    times.add(new double[] {at});
+    steps.add(step);
   }
 
   private void addJob(int number) {
     String id = "wk-" + (100 + number);
     String team = random.nextBoolean() ? "red" : "blue";
-    double when = number < 4 ? 3 : between(3, 160);
-    StringBuilder text = new StringBuilder("submit ").append(id).append(" team=").append(team);
+    double at = number < 4 ? 3 : randomBetween(3, 160);
+    StringBuilder step = new StringBuilder("submit ").append(id).append(" team=").append(team);
     int tasks = 1 + random.nextInt(6);
-    text.append(" tasks=").append(tasks).append(" cpus=").append(1 + random.nextInt(2));
+    step.append(" tasks=").append(tasks).append(" cpus=").append(1 + random.nextInt(2));
     if (random.nextInt(3) == 0) {
-      text.append(" standing rank=production");
-      text.append(random.nextBoolean() ? " scatter" : " together");
+      step.append(" standing rank=production");
+      step.append(random.nextBoolean() ? " scatter" : " together");
     } else {
-      text.append(" run=")
+      step.append(" run=")
           .append(2 + random.nextInt(20))
           .append('/')
           .append(5 + random.nextInt(90));
-      text.append(random.nextInt(4) == 0 ? " together" : "")
+      step.append(random.nextInt(4) == 0 ? " together" : "")
           .append(random.nextInt(3) == 0 ? " rank=urgent" : "");
     }
-    addStep(when, text.toString());
+    addStep(at, step.toString());
     if (random.nextInt(3) == 0) {
-      addStep(Math.max(when + 1, between(10, 150)), "abort " + id);
+      addStep(Math.max(at + 1, randomBetween(10, 150)), "abort " + id);
     }
   }
 
@@ -226,59 +226,66 @@
   private void addFault(double at, double[] periods) {
     double lease = periods[1];
     switch (random.nextInt(16)) {
-      case 0 -> addSpan(at, between(2, 20), "refuse leader", "admit refused");
-      case 1 -> addSpan(at, between(5, periods[2] + 15), "outage store on", "outage store off");
-      case 2 -> addSpan(at, between(0.1, 8), "crash leader", "start all");
-      case 3 -> addSpan(at, between(0.1, lease + 10), "crash all", "start all");
+      case 0 -> addFaultSteps(at, randomBetween(2, 20), "refuse leader", "admit refused");
+      case 1 ->
+          addFaultSteps(
+              at, randomBetween(5, periods[2] + 15), "outage store on", "outage store off");
+      case 2 -> addFaultSteps(at, randomBetween(0.1, 8), "crash leader", "start all");
+      case 3 -> addFaultSteps(at, randomBetween(0.1, lease + 10), "crash all", "start all");
       case 4 -> {
         for (int i = 0; i < 4; i++) {
-          addSpan(at + 12 * i, between(0.1, 6), "crash leader", "start all");
+          addFaultSteps(at + 12 * i, randomBetween(0.1, 6), "crash leader", "start all");
         }
       }
       case 5 -> {
         String machine = randomMachine();
-        addSpan(at, between(1, lease + 10), "hang " + machine, "resume " + machine);
+        addFaultSteps(at, randomBetween(1, lease + 10), "hang " + machine, "resume " + machine);
       }
       case 6 -> {
         String machine = randomMachine();
-        addSpan(at, between(3, lease + 20), "mute " + machine, "unmute " + machine);
+        addFaultSteps(at, randomBetween(3, lease + 20), "mute " + machine, "unmute " + machine);
       }
       case 7 -> {
         String machine = randomMachine();
-        addSpan(at, between(3, lease + 20), "deafen " + machine, "hears " + machine);
+        addFaultSteps(at, randomBetween(3, lease + 20), "deafen " + machine, "hears " + machine);
       }
       case 8 -> {
         String machine = randomMachine();
-        addSpan(at, between(1, lease + 20), "cut " + machine + " * hold", "heal " + machine + " *");
+        addFaultSteps(
+            at,
+            randomBetween(1, lease + 20),
+            "cut " + machine + " * hold",
+            "heal " + machine + " *");
       }
       case 9 ->
-          addSpan(
+          addFaultSteps(
               at,
-              between(5, lease + 25),
+              randomBetween(5, lease + 25),
               "island " + (random.nextBoolean() ? "a" : "b"),
               "mainland");
-      case 10 -> addSpan(at, between(10, 50), "late_writes 30", "late_writes 0");
-      case 11 -> addSpan(at, between(10, 60), "late_reports on", "late_reports off");
-      case 12 -> addSpan(at, between(10, 40), "slow_store 1000", "slow_store 0");
+      case 10 -> addFaultSteps(at, randomBetween(10, 50), "late_writes 30", "late_writes 0");
+      case 11 -> addFaultSteps(at, randomBetween(10, 60), "late_reports on", "late_reports off");
+      case 12 -> addFaultSteps(at, randomBetween(10, 40), "slow_store 1000", "slow_store 0");
       case 13 -> {
         String c = "c" + random.nextInt(3);
-        double length = between(4, periods[2]);
-        addSpan(at, length, "cut " + c + " store lose", "heal " + c + " store");
+        double length = randomBetween(4, periods[2]);
+        addFaultSteps(at, length, "cut " + c + " store lose", "heal " + c + " store");
         for (int i = 0; i < 3; i++) {
           if (!c.equals("c" + i)) {
-            addSpan(at, length, "cut " + c + " c" + i + " hold", "heal " + c + " c" + i);
+            addFaultSteps(at, length, "cut " + c + " c" + i + " hold", "heal " + c + " c" + i);
           }
         }
       }
-      case 14 -> addSpan(at, between(20, 60), "cancels_at_end on", "cancels_at_end off");
+      case 14 ->
+          addFaultSteps(at, randomBetween(20, 60), "cancels_at_end on", "cancels_at_end off");
       default -> {
-        addSpan(at, between(10, 60), "odd_requests on", "odd_requests off");
-        addSpan(at + 1, between(10, 60), "duplicates on 40", "duplicates off");
+        addFaultSteps(at, randomBetween(10, 60), "odd_requests on", "odd_requests off");
+        addFaultSteps(at + 1, randomBetween(10, 60), "duplicates on 40", "duplicates off");
       }
     }
   }
 
-  private void addSpan(double from, double length, String startStep, String endStep) {
+  private void addFaultSteps(double from, double length, String startStep, String endStep) {
     addStep(from, startStep);
     addStep(Math.min(FAULTS_UNTIL_S, from + length), endStep);
   }
--- a/src/test/java/org/sandford/scenario/Rules.java
+++ b/src/test/java/org/sandford/scenario/Rules.java
@@ -113,7 +113,7 @@
   void checkOrders(JsonNode orders) {
     for (JsonNode order : orders) {
       String piece = order.path("piece").asText();
-      UserJob job = scenario.submitted.get(piece.substring(0, Math.max(0, piece.indexOf('/'))));
+      UserJob job = scenario.submittedJobs.get(piece.substring(0, Math.max(0, piece.indexOf('/'))));
       boolean start = order.path("verb").asText().equals("start");
       if (start
           && job != null
@@ -148,7 +148,7 @@
             .forEach(t -> checkNotCancelled(t, "is on its machine"));
       }
     }
-    scenario.submitted.values().forEach(this::checkWaiting);
+    scenario.submittedJobs.values().forEach(this::checkWaiting);
     simulation.after(250, this::checkPeriodically);
   }
 
@@ -182,7 +182,7 @@
     Map<String, List<UserJob>> groups = new TreeMap<>();
     Map<String, Integer> largestTaskCount = new HashMap<>();
     List<UserJob> eligible =
-        scenario.submitted.values().stream()
+        scenario.submittedJobs.values().stream()
             .filter(
                 job ->
                     reportedStatuses.containsKey(job.id) && !job.cancelRequested && !job.tasksFail)
@@ -223,7 +223,7 @@
    */
   private boolean fitsTeamLimit(UserJob job) {
     double serviceCpus =
-        scenario.submitted.values().stream()
+        scenario.submittedJobs.values().stream()
             .filter(
                 other ->
                     other != job
--- a/src/test/java/org/sandford/scenario/RulesTest.java
+++ b/src/test/java/org/sandford/scenario/RulesTest.java
@@ -16,15 +16,15 @@
   private final Simulation simulation = scenario.simulation;
   private final Rules rules = scenario.rules;
 
-  private UserJob job(String id) {
+  private UserJob submitJob(String id) {
     UserJob job = new UserJob();
     job.id = id;
     job.submittedAt = simulation.now();
-    scenario.submitted.put(id, job);
+    scenario.submittedJobs.put(id, job);
     return job;
   }
 
-  private FakeWorker machine(String zone, boolean spot) {
+  private FakeWorker rentMachine(String zone, boolean spot) {
     FakeCloud.Rented rented = scenario.cloud.rent(zone, spot, 0);
     simulation.runUntil(simulation.seconds());
     return rented.worker;
@@ -38,7 +38,7 @@
     return task;
   }
 
-  private void answer(String id, UserJob job, long askedAt, int status, String state) {
+  private void checkAnswer(String id, UserJob job, long askedAt, int status, String state) {
     rules.checkAnswer(id, job, "c0", askedAt, status, state);
   }
 
@@ -52,56 +52,56 @@
 
   @Test
   void twoTasksOfOneJobBreakNoRule() {
-    UserJob job = job("wk-1");
+    UserJob job = submitJob("wk-1");
     job.tasks = 2;
-    startTask(machine("a", false), job, 0);
-    startTask(machine("b", false), job, 1);
+    startTask(rentMachine("a", false), job, 0);
+    startTask(rentMachine("b", false), job, 1);
     assertViolations();
   }
 
   @Test
   void ranTwice() {
-    UserJob job = job("wk-1");
-    startTask(machine("a", false), job, 0);
-    startTask(machine("b", false), job, 0);
+    UserJob job = submitJob("wk-1");
+    startTask(rentMachine("a", false), job, 0);
+    startTask(rentMachine("b", false), job, 0);
     assertViolations("ran_twice");
   }
 
   @Test
   void quota() {
-    UserJob job = job("wk-1");
+    UserJob job = submitJob("wk-1");
     job.cpus = 9;
     job.tasks = 2;
-    startTask(machine("a", false), job, 0);
-    startTask(machine("a", false), job, 1);
+    startTask(rentMachine("a", false), job, 0);
+    startTask(rentMachine("a", false), job, 1);
     assertViolations("quota");
   }
 
   @Test
   void wrongPlace() {
-    UserJob sameZone = job("wk-1");
+    UserJob sameZone = submitJob("wk-1");
     sameZone.sameZone = true;
     sameZone.tasks = 2;
-    startTask(machine("a", false), sameZone, 0);
-    startTask(machine("b", false), sameZone, 1);
-    UserJob spreadAcrossZones = job("wk-2");
+    startTask(rentMachine("a", false), sameZone, 0);
+    startTask(rentMachine("b", false), sameZone, 1);
+    UserJob spreadAcrossZones = submitJob("wk-2");
     spreadAcrossZones.spreadAcrossZones = true;
     spreadAcrossZones.tasks = 2;
-    startTask(machine("a", false), spreadAcrossZones, 0);
-    startTask(machine("a", false), spreadAcrossZones, 1);
-    startTask(machine("a", true), job("wk-3"), 0);
-    UserJob zoneBound = job("wk-4");
+    startTask(rentMachine("a", false), spreadAcrossZones, 0);
+    startTask(rentMachine("a", false), spreadAcrossZones, 1);
+    startTask(rentMachine("a", true), submitJob("wk-3"), 0);
+    UserJob zoneBound = submitJob("wk-4");
     zoneBound.zone = "b";
-    startTask(machine("a", false), zoneBound, 0);
+    startTask(rentMachine("a", false), zoneBound, 0);
     assertViolations("wrong_place", "wrong_place", "wrong_place", "wrong_place");
   }
 
   @Test
   void aGangRunsWithAllItsTasks() {
-    UserJob gang = job("wk-1");
+    UserJob gang = submitJob("wk-1");
     gang.gang = true;
     gang.tasks = 2;
-    FakeWorker machine = machine("a", false);
+    FakeWorker machine = rentMachine("a", false);
     FakeWorker.Held first = new FakeWorker.Held("wk-1/0", 1, gang);
     FakeWorker.Held duplicate = new FakeWorker.Held("wk-1/0", 1, gang);
     FakeWorker.Held second = new FakeWorker.Held("wk-1/1", 1, gang);
@@ -113,9 +113,9 @@
 
   @Test
   void aGangFitsOnlyWithAllItsTasks() {
-    machine("a", false);
-    machine("b", false);
-    UserJob gang = job("wk-1");
+    rentMachine("a", false);
+    rentMachine("b", false);
+    UserJob gang = submitJob("wk-1");
     gang.gang = true;
     gang.cpus = 2;
     gang.tasks = 4;
@@ -131,8 +131,8 @@
 
   @Test
   void ranCancelled() {
-    UserJob job = job("wk-1");
-    FakeWorker machine = machine("a", false);
+    UserJob job = submitJob("wk-1");
+    FakeWorker machine = rentMachine("a", false);
     startTask(machine, job, 0);
     // A hanging worker does not check its lease, so the task is not ended by it.
     machine.hang(true);
@@ -146,7 +146,7 @@
 
   @Test
   void noStartIsOrderedAfterACancellation() {
-    UserJob job = job("wk-1");
+    UserJob job = submitJob("wk-1");
     var orders = Json.array();
     orders.addObject().put("verb", "start").put("piece", "wk-1/0").put("try", 1);
     job.cancelConfirmedAt = simulation.now();
@@ -159,27 +159,27 @@
 
   @Test
   void forgotten() {
-    UserJob job = job("wk-1");
-    answer("wk-1", job, 0, 201, "queued");
-    answer("wk-1", job, simulation.now() + 1, 404, "");
-    answer("wk-1", job, 0, 422, "");
+    UserJob job = submitJob("wk-1");
+    checkAnswer("wk-1", job, 0, 201, "queued");
+    checkAnswer("wk-1", job, simulation.now() + 1, 404, "");
+    checkAnswer("wk-1", job, 0, 422, "");
     assertViolations("forgotten", "forgotten");
   }
 
   @Test
   void aPollSentBeforeTheAcceptanceMayMissTheJob() {
-    UserJob job = job("wk-1");
+    UserJob job = submitJob("wk-1");
     long before = simulation.now();
-    answer("wk-1", job, before, 201, "queued");
-    answer("wk-1", job, before, 404, "");
+    checkAnswer("wk-1", job, before, 201, "queued");
+    checkAnswer("wk-1", job, before, 404, "");
     assertViolations();
-    answer("wk-1", job, before + 1, 404, "");
+    checkAnswer("wk-1", job, before + 1, 404, "");
     assertViolations("forgotten");
   }
 
   @Test
   void forgottenWhenNoPollIsAnswered() {
-    UserJob job = job("wk-1");
+    UserJob job = submitJob("wk-1");
     rules.checkPoll(job, 200, 0);
     simulation.runUntil(74);
     rules.checkPoll(job, 503, 0);
@@ -193,36 +193,36 @@
 
   @Test
   void invented() {
-    answer("wk-1", null, 0, 200, "queued");
+    checkAnswer("wk-1", null, 0, 200, "queued");
     assertViolations("invented");
   }
 
   @Test
   void notDone() {
-    UserJob job = job("wk-1");
-    answer("wk-1", job, 0, 200, "done");
+    UserJob job = submitJob("wk-1");
+    checkAnswer("wk-1", job, 0, 200, "done");
     assertViolations("not_done");
   }
 
   @Test
   void wentBack() {
-    UserJob job = job("wk-1");
+    UserJob job = submitJob("wk-1");
     job.finishedTasks.add("wk-1/0");
     long overlapping = simulation.now();
-    answer("wk-1", job, overlapping, 200, "done");
-    answer("wk-1", job, overlapping, 200, "running");
+    checkAnswer("wk-1", job, overlapping, 200, "done");
+    checkAnswer("wk-1", job, overlapping, 200, "running");
     assertViolations();
-    answer("wk-1", job, simulation.now() + 1, 200, "running");
-    answer("wk-1", job, overlapping, 200, "aborted");
+    checkAnswer("wk-1", job, simulation.now() + 1, 200, "running");
+    checkAnswer("wk-1", job, overlapping, 200, "aborted");
     // The last answer breaks the rule twice: the state changed, and no cancellation was requested.
     assertViolations("went_back", "went_back", "went_back");
   }
 
   @Test
   void leftWaitingDespiteCapacity() {
-    UserJob job = job("wk-1");
-    answer("wk-1", job, 0, 201, "queued");
-    machine("a", false);
+    UserJob job = submitJob("wk-1");
+    checkAnswer("wk-1", job, 0, 201, "queued");
+    rentMachine("a", false);
     simulation.runUntil(89);
     assertViolations();
     simulation.runUntil(92);
@@ -231,10 +231,10 @@
 
   @Test
   void aJobMayWaitWithoutCapacity() {
-    UserJob job = job("wk-1");
+    UserJob job = submitJob("wk-1");
     job.zone = "b";
-    answer("wk-1", job, 0, 201, "queued");
-    machine("a", false);
+    checkAnswer("wk-1", job, 0, 201, "queued");
+    rentMachine("a", false);
     simulation.runUntil(200);
     assertViolations();
   }
@@ -242,11 +242,11 @@
   @Test
   void halfOfEachClassAndTeamMustStart() {
     for (int i = 0; i < 3; i++) {
-      UserJob job = job("wk-" + i);
+      UserJob job = submitJob("wk-" + i);
       job.jobClass = i == 0 ? "rare" : "usual";
       job.team = i == 0 ? "blue" : "red";
       job.firstStartAt = i == 0 ? -1 : simulation.now();
-      answer(job.id, job, 0, 201, "queued");
+      checkAnswer(job.id, job, 0, 201, "queued");
     }
     simulation.runUntil(100);
     rules.checkServed(60);
@@ -255,13 +255,13 @@
 
   @Test
   void theLargestJobsMustStartWithinFourMinutes() {
-    UserJob large = job("wk-1");
+    UserJob large = submitJob("wk-1");
     large.tasks = 10;
-    answer("wk-1", large, 0, 201, "queued");
+    checkAnswer("wk-1", large, 0, 201, "queued");
     for (int i = 2; i < 5; i++) {
-      UserJob small = job("wk-" + i);
+      UserJob small = submitJob("wk-" + i);
       small.firstStartAt = simulation.now();
-      answer(small.id, small, 0, 201, "queued");
+      checkAnswer(small.id, small, 0, 201, "queued");
     }
     simulation.runUntil(250);
     rules.checkServed(60);
--- a/src/test/java/org/sandford/scenario/Scenario.java
+++ b/src/test/java/org/sandford/scenario/Scenario.java
@@ -23,7 +23,7 @@
   final FakeCloud cloud;
   final ScenarioScript script;
   final Map<String, FakeServer> servers = new HashMap<>();
-  final Map<String, UserJob> submitted = new TreeMap<>();
+  final Map<String, UserJob> submittedJobs = new TreeMap<>();
   final List<String> zones = new ArrayList<>(List.of("a", "b"));
 
   /** The CPUs that each team may use at once. */
@@ -54,11 +54,11 @@
     freeCapacity = new FreeCapacity(cloud, teamMaxCpus);
     controllers = new SimulatedControllers(simulation, script, store, servers, zones);
     faultMonitor = new TroubleWatch(simulation, controllers, store, cloud);
-    users = new ScenarioUsers(simulation, servers, submitted, controllers, rules, faultMonitor);
+    users = new ScenarioUsers(simulation, servers, submittedJobs, controllers, rules, faultMonitor);
     ScenarioHosts hosts =
         new ScenarioHosts(simulation, store, cloud, controllers, workers, this::absentWorker);
     steps = new ScenarioSteps(simulation, script, store, cloud, controllers, hosts, users);
-    expectations = new ScenarioExpectations(cloud, store, rules, controllers, submitted);
+    expectations = new ScenarioExpectations(cloud, store, rules, controllers, submittedJobs);
     steps.register("count", step -> expectations.resetCounts());
     steps.register("expect", expectations::check);
   }
--- a/src/test/java/org/sandford/scenario/ScenarioExpectations.java
+++ b/src/test/java/org/sandford/scenario/ScenarioExpectations.java
@@ -16,7 +16,7 @@
   private final FakeStore store;
   private final Rules rules;
   private final SimulatedControllers controllers;
-  private final Map<String, UserJob> submitted;
+  private final Map<String, UserJob> submittedJobs;
   private final List<String> failures = new ArrayList<>();
   private final Map<String, Function<ScenarioScript.Step, Object>> values = new HashMap<>();
   private long snapshotReadsBefore;
@@ -28,12 +28,12 @@
       FakeStore store,
       Rules rules,
       SimulatedControllers controllers,
-      Map<String, UserJob> submitted) {
+      Map<String, UserJob> submittedJobs) {
     this.cloud = cloud;
     this.store = store;
     this.rules = rules;
     this.controllers = controllers;
-    this.submitted = submitted;
+    this.submittedJobs = submittedJobs;
     registerValues();
   }
 
@@ -52,7 +52,7 @@
   private void registerValues() {
     values.put("told", step -> rules.reportedStatus(step.word(2)));
     values.put("answer", step -> job(step).submissionStatus);
-    values.put("running", step -> runningTasks(step.word(2)));
+    values.put("running", step -> countRunningTasks(step.word(2)));
     values.put("started", step -> rules.startCount);
     values.put("machines", step -> cloud.machines.size());
     // Counts all machines that were ever rented.
@@ -67,7 +67,7 @@
     values.put("gang_runs", step -> job(step).gangRuns);
     values.put("orderly_stops", step -> job(step).orderlyStops);
     values.put("lost_with_lease", step -> rules.lostWithLease);
-    values.put("stored", step -> store.has(step.word(2)));
+    values.put("stored", step -> store.containsKey(step.word(2)));
   }
 
   void check(ScenarioScript.Step step) {
@@ -94,7 +94,7 @@
   }
 
   private UserJob job(ScenarioScript.Step step) {
-    return submitted.get(step.word(2));
+    return submittedJobs.get(step.word(2));
   }
 
   private static long secondsUntilStarted(UserJob job) {
@@ -103,7 +103,7 @@
         : (job.firstStartAt - job.submittedAt) / 1_000_000_000L;
   }
 
-  private long runningTasks(String id) {
+  private long countRunningTasks(String id) {
     return cloud.machines.values().stream()
         .filter(machine -> machine.worker != null)
         .flatMap(machine -> machine.worker.tasks.values().stream())
--- a/src/test/java/org/sandford/scenario/ScenarioHosts.java
+++ b/src/test/java/org/sandford/scenario/ScenarioHosts.java
@@ -58,7 +58,7 @@
   String controller(String word) {
     String id;
     if (word.equals("leader")) {
-      id = text(store.value("c/leader"), "id");
+      id = textField(store.value("c/leader"), "id");
     } else if (word.startsWith("owner:")) {
       id = teamOwner(word.substring("owner:".length()));
     } else if (word.startsWith("holder:")) {
@@ -79,7 +79,7 @@
   /** Returns the member id of the machine's owner in the stored map, or an empty string. */
   private String machineOwner(String machine) {
     String owner = "";
-    for (int partition = 0; store.has(MACHINES_PARTITION_PREFIX + partition); partition++) {
+    for (int partition = 0; store.containsKey(MACHINES_PARTITION_PREFIX + partition); partition++) {
       JsonNode record = store.value(MACHINES_PARTITION_PREFIX + partition);
       JsonNode assignment = record.path("m").path(machine);
       owner =
@@ -90,7 +90,7 @@
     return owner;
   }
 
-  private static String text(JsonNode record, String field) {
+  private static String textField(JsonNode record, String field) {
     return record == null ? "" : record.path(field).asText();
   }
 
@@ -115,12 +115,14 @@
       return machinesByWord.computeIfAbsent(
           word,
           w -> {
-            List<String> up =
+            List<String> candidates =
                 cloud.machines.values().stream()
                     .filter(m -> m.worker != null && !machinesByWord.containsValue(m.name))
                     .map(m -> m.name)
                     .toList();
-            return up.isEmpty() ? "nowhere" : up.get(Integer.parseInt(w.substring(2)) % up.size());
+            return candidates.isEmpty()
+                ? "nowhere"
+                : candidates.get(Integer.parseInt(w.substring(2)) % candidates.size());
           });
     }
     if (!word.startsWith("of:")) {
--- a/src/test/java/org/sandford/scenario/ScenarioUsers.java
+++ b/src/test/java/org/sandford/scenario/ScenarioUsers.java
@@ -24,7 +24,7 @@
 
   private final Simulation simulation;
   private final Map<String, FakeServer> servers;
-  private final Map<String, UserJob> submitted;
+  private final Map<String, UserJob> submittedJobs;
   private final SimulatedControllers controllers;
   private final Rules rules;
   private final TroubleWatch faultMonitor;
@@ -41,13 +41,13 @@
   ScenarioUsers(
       Simulation simulation,
       Map<String, FakeServer> servers,
-      Map<String, UserJob> submitted,
+      Map<String, UserJob> submittedJobs,
       SimulatedControllers controllers,
       Rules rules,
       TroubleWatch faultMonitor) {
     this.simulation = simulation;
     this.servers = servers;
-    this.submitted = submitted;
+    this.submittedJobs = submittedJobs;
     this.controllers = controllers;
     this.rules = rules;
     this.faultMonitor = faultMonitor;
@@ -68,12 +68,12 @@
 
   /** Submits the same job once more, as its user would. */
   void resubmit(String id) {
-    UserJob job = submitted.get(id);
+    UserJob job = submittedJobs.get(id);
     sendSubmission(job, job.team, simulation.now());
   }
 
   void cancel(String id, String controller) {
-    cancel(submitted.get(id), controller);
+    cancel(submittedJobs.get(id), controller);
   }
 
   /**
@@ -138,7 +138,7 @@
     job.zone = options.getOrDefault("zone", "");
     job.checkpointIntervalS = Double.parseDouble(options.getOrDefault("save", "0"));
     job.submittedAt = simulation.now();
-    submitted.put(id, job);
+    submittedJobs.put(id, job);
     sendSubmission(job, job.team, simulation.now());
   }
 
@@ -198,7 +198,7 @@
 
   /** Checks an answer; if it reports a change, users may start to poll frequently. */
   private void handleAnswer(String id, String controller, long askedAt, int status, String state) {
-    UserJob job = submitted.get(id);
+    UserJob job = submittedJobs.get(id);
     if (rules.checkAnswer(id, job, controller, askedAt, status, state)) {
       pollFrequently(job);
     }
@@ -287,7 +287,7 @@
         2_000,
         (status, answer) -> {
           handleAnswer(id, controller, askedAt, status, answer.path("status").asText());
-          if (!submitted.containsKey(id) && status != 404 && status != 503) {
+          if (!submittedJobs.containsKey(id) && status != 404 && status != 503) {
             simulation.recordViolation("invented", id + " gets " + status);
           }
         });
