--- a/src/test/java/org/sandford/scenario/Rules.java
+++ b/src/test/java/org/sandford/scenario/Rules.java
@@ -59,7 +59,7 @@
               task.piece
                   + " starts on "
                   + worker.machine.name
-                  + " while running on "
+                  + " while active on "
                   + machine.name);
         }
         if (other.job.team.equals(task.job.team)) {
