--- a/src/test/java/org/sandford/scenario/RulesTest.java
+++ b/src/test/java/org/sandford/scenario/RulesTest.java
@@ -9,267 +9,270 @@
 import org.junit.jupiter.api.Test;
 import org.sandford.runtime.Json;
 
-/** Each check of the rules fails when its rule is broken. */
+/** Tests that each check of the rules reports a violation when its rule is broken. */
 class RulesTest {
   private final Scenario scenario =
       new Scenario("rules", List.of("team red 8 16", "team blue 8 16"));
   private final Simulation simulation = scenario.simulation;
   private final Rules rules = scenario.rules;
 
-  private UserJob job(String id) {
+  private UserJob submitJob(String id) {
     UserJob job = new UserJob();
     job.id = id;
-    job.since = simulation.now();
-    scenario.submitted.put(id, job);
+    job.submittedAt = simulation.now();
+    scenario.submittedJobs.put(id, job);
     return job;
   }
 
-  private FakeWorker machine(String zone, boolean spot) {
+  private FakeWorker rentMachine(String zone, boolean spot) {
     FakeCloud.Rented rented = scenario.cloud.rent(zone, spot, 0);
     simulation.runUntil(simulation.seconds());
     return rented.worker;
   }
 
-  private FakeWorker.Held runs(FakeWorker on, UserJob job, int task) {
-    FakeWorker.Held held = new FakeWorker.Held(job.id + "/" + task, 1, job);
-    on.held.put(held.piece + "@1", held);
-    rules.starts(on, held);
-    held.status = "running";
-    return held;
+  private FakeWorker.Held startTask(FakeWorker worker, UserJob job, int number) {
+    FakeWorker.Held task = new FakeWorker.Held(job.id + "/" + number, 1, job);
+    worker.tasks.put(task.piece + "@1", task);
+    rules.checkStart(worker, task);
+    task.status = "running";
+    return task;
   }
 
-  private void answered(String id, UserJob job, long askedAt, int status, String state) {
-    rules.answered(id, job, "c0", askedAt, status, state);
+  private void checkAnswer(String id, UserJob job, long askedAt, int status, String state) {
+    rules.checkAnswer(id, job, "c0", askedAt, status, state);
   }
 
-  private void broken(String... wanted) {
-    List<String> got =
-        simulation.broken.stream().map(text -> text.replaceAll("^\\S+ s (\\S+):.*", "$1")).toList();
-    assertEquals(List.of(wanted), got, simulation.broken::toString);
+  private void assertViolations(String... expected) {
+    List<String> actual =
+        simulation.violations.stream()
+            .map(text -> text.replaceAll("^\\S+ s (\\S+):.*", "$1"))
+            .toList();
+    assertEquals(List.of(expected), actual, simulation.violations::toString);
   }
 
   @Test
-  void aQuietPairBreaksNothing() {
-    UserJob job = job("wk-1");
+  void twoTasksOfOneJobBreakNoRule() {
+    UserJob job = submitJob("wk-1");
     job.tasks = 2;
-    runs(machine("a", false), job, 0);
-    runs(machine("b", false), job, 1);
-    broken();
+    startTask(rentMachine("a", false), job, 0);
+    startTask(rentMachine("b", false), job, 1);
+    assertViolations();
   }
 
   @Test
   void ranTwice() {
-    UserJob job = job("wk-1");
-    runs(machine("a", false), job, 0);
-    runs(machine("b", false), job, 0);
-    broken("ran_twice");
+    UserJob job = submitJob("wk-1");
+    startTask(rentMachine("a", false), job, 0);
+    startTask(rentMachine("b", false), job, 0);
+    assertViolations("ran_twice");
   }
 
   @Test
   void quota() {
-    UserJob job = job("wk-1");
+    UserJob job = submitJob("wk-1");
     job.cpus = 9;
     job.tasks = 2;
-    runs(machine("a", false), job, 0);
-    runs(machine("a", false), job, 1);
-    broken("quota");
+    startTask(rentMachine("a", false), job, 0);
+    startTask(rentMachine("a", false), job, 1);
+    assertViolations("quota");
   }
 
   @Test
   void wrongPlace() {
-    UserJob sameZone = job("wk-1");
+    UserJob sameZone = submitJob("wk-1");
     sameZone.sameZone = true;
     sameZone.tasks = 2;
-    runs(machine("a", false), sameZone, 0);
-    runs(machine("b", false), sameZone, 1);
-    UserJob spreadAcrossZones = job("wk-2");
+    startTask(rentMachine("a", false), sameZone, 0);
+    startTask(rentMachine("b", false), sameZone, 1);
+    UserJob spreadAcrossZones = submitJob("wk-2");
     spreadAcrossZones.spreadAcrossZones = true;
     spreadAcrossZones.tasks = 2;
-    runs(machine("a", false), spreadAcrossZones, 0);
-    runs(machine("a", false), spreadAcrossZones, 1);
-    runs(machine("a", true), job("wk-3"), 0);
-    UserJob bound = job("wk-4");
-    bound.zone = "b";
-    runs(machine("a", false), bound, 0);
-    broken("wrong_place", "wrong_place", "wrong_place", "wrong_place");
+    startTask(rentMachine("a", false), spreadAcrossZones, 0);
+    startTask(rentMachine("a", false), spreadAcrossZones, 1);
+    startTask(rentMachine("a", true), submitJob("wk-3"), 0);
+    UserJob zoneBound = submitJob("wk-4");
+    zoneBound.zone = "b";
+    startTask(rentMachine("a", false), zoneBound, 0);
+    assertViolations("wrong_place", "wrong_place", "wrong_place", "wrong_place");
   }
 
   @Test
   void aGangRunsWithAllItsTasks() {
-    UserJob gang = job("wk-1");
+    UserJob gang = submitJob("wk-1");
     gang.gang = true;
     gang.tasks = 2;
-    FakeWorker machine = machine("a", false);
+    FakeWorker machine = rentMachine("a", false);
     FakeWorker.Held first = new FakeWorker.Held("wk-1/0", 1, gang);
-    FakeWorker.Held again = new FakeWorker.Held("wk-1/0", 1, gang);
+    FakeWorker.Held duplicate = new FakeWorker.Held("wk-1/0", 1, gang);
     FakeWorker.Held second = new FakeWorker.Held("wk-1/1", 1, gang);
-    rules.gangRuns(gang, Map.of(first, machine, second, machine));
-    broken();
-    rules.gangRuns(gang, Map.of(first, machine, again, machine));
-    broken("gang");
+    rules.checkGangStart(gang, Map.of(first, machine, second, machine));
+    assertViolations();
+    rules.checkGangStart(gang, Map.of(first, machine, duplicate, machine));
+    assertViolations("gang");
   }
 
   @Test
   void aGangFitsOnlyWithAllItsTasks() {
-    machine("a", false);
-    machine("b", false);
-    UserJob gang = job("wk-1");
+    rentMachine("a", false);
+    rentMachine("b", false);
+    UserJob gang = submitJob("wk-1");
     gang.gang = true;
     gang.cpus = 2;
     gang.tasks = 4;
-    assertTrue(scenario.fitsSomewhere(gang), "one machine holds all");
+    assertTrue(scenario.hasCapacityFor(gang), "one machine has room for all tasks");
     gang.sameZone = true;
     gang.tasks = 5;
-    assertFalse(scenario.fitsSomewhere(gang), "one zone does not hold all");
+    assertFalse(scenario.hasCapacityFor(gang), "one zone does not have room for all tasks");
     gang.sameZone = false;
-    assertTrue(scenario.fitsSomewhere(gang), "two zones do");
+    assertTrue(scenario.hasCapacityFor(gang), "two zones together have room for all tasks");
     gang.tasks = 9;
-    assertFalse(scenario.fitsSomewhere(gang), "its team's limit does not allow all");
+    assertFalse(scenario.hasCapacityFor(gang), "the team's limit does not allow all tasks");
   }
 
   @Test
   void ranCancelled() {
-    UserJob job = job("wk-1");
-    FakeWorker machine = machine("a", false);
-    runs(machine, job, 0);
-    // Hanging keeps the lease from ending it.
+    UserJob job = submitJob("wk-1");
+    FakeWorker machine = rentMachine("a", false);
+    startTask(machine, job, 0);
+    // A hanging worker does not check its lease, so the task is not ended by it.
     machine.hang(true);
-    job.abortedAt = simulation.now();
+    job.cancelConfirmedAt = simulation.now();
     simulation.runUntil(scenario.script.cancelS - 1);
-    broken();
+    assertViolations();
     simulation.runUntil(scenario.script.cancelS + 0.5);
-    assertTrue(simulation.broken.get(0).contains("ran_cancelled"), simulation.broken::toString);
+    assertTrue(
+        simulation.violations.get(0).contains("ran_cancelled"), simulation.violations::toString);
   }
 
   @Test
   void noStartIsOrderedAfterACancellation() {
-    UserJob job = job("wk-1");
+    UserJob job = submitJob("wk-1");
     var orders = Json.array();
     orders.addObject().put("verb", "start").put("piece", "wk-1/0").put("try", 1);
-    job.abortedAt = simulation.now();
-    rules.ordered(orders);
-    broken();
+    job.cancelConfirmedAt = simulation.now();
+    rules.checkOrders(orders);
+    assertViolations();
     simulation.runUntil(1);
-    rules.ordered(orders);
-    broken("ran_cancelled");
+    rules.checkOrders(orders);
+    assertViolations("ran_cancelled");
   }
 
   @Test
   void forgotten() {
-    UserJob job = job("wk-1");
-    answered("wk-1", job, 0, 201, "queued");
-    answered("wk-1", job, simulation.now() + 1, 404, "");
-    answered("wk-1", job, 0, 422, "");
-    broken("forgotten", "forgotten");
+    UserJob job = submitJob("wk-1");
+    checkAnswer("wk-1", job, 0, 201, "queued");
+    checkAnswer("wk-1", job, simulation.now() + 1, 404, "");
+    checkAnswer("wk-1", job, 0, 422, "");
+    assertViolations("forgotten", "forgotten");
   }
 
   @Test
-  void aQuestionFromBeforeTheAcceptanceMayMissTheJob() {
-    UserJob job = job("wk-1");
+  void aPollSentBeforeTheAcceptanceMayMissTheJob() {
+    UserJob job = submitJob("wk-1");
     long before = simulation.now();
-    answered("wk-1", job, before, 201, "queued");
-    answered("wk-1", job, before, 404, "");
-    broken();
-    answered("wk-1", job, before + 1, 404, "");
-    broken("forgotten");
+    checkAnswer("wk-1", job, before, 201, "queued");
+    checkAnswer("wk-1", job, before, 404, "");
+    assertViolations();
+    checkAnswer("wk-1", job, before + 1, 404, "");
+    assertViolations("forgotten");
   }
 
   @Test
-  void noQuestionIsAnsweredForTooLong() {
-    UserJob job = job("wk-1");
-    rules.polled(job, 200, 0);
+  void forgottenWhenNoPollIsAnswered() {
+    UserJob job = submitJob("wk-1");
+    rules.checkPoll(job, 200, 0);
     simulation.runUntil(74);
-    rules.polled(job, 503, 0);
-    broken();
+    rules.checkPoll(job, 503, 0);
+    assertViolations();
     simulation.runUntil(76);
-    rules.polled(job, 503, simulation.now());
-    broken();
-    rules.polled(job, 503, 0);
-    broken("forgotten");
+    rules.checkPoll(job, 503, simulation.now());
+    assertViolations();
+    rules.checkPoll(job, 503, 0);
+    assertViolations("forgotten");
   }
 
   @Test
   void invented() {
-    answered("wk-1", null, 0, 200, "queued");
-    broken("invented");
+    checkAnswer("wk-1", null, 0, 200, "queued");
+    assertViolations("invented");
   }
 
   @Test
   void notDone() {
-    UserJob job = job("wk-1");
-    answered("wk-1", job, 0, 200, "done");
-    broken("not_done");
+    UserJob job = submitJob("wk-1");
+    checkAnswer("wk-1", job, 0, 200, "done");
+    assertViolations("not_done");
   }
 
   @Test
   void wentBack() {
-    UserJob job = job("wk-1");
-    job.finished.add("wk-1/0");
+    UserJob job = submitJob("wk-1");
+    job.finishedTasks.add("wk-1/0");
     long overlapping = simulation.now();
-    answered("wk-1", job, overlapping, 200, "done");
-    answered("wk-1", job, overlapping, 200, "running");
-    broken();
-    answered("wk-1", job, simulation.now() + 1, 200, "running");
-    answered("wk-1", job, overlapping, 200, "aborted");
-    // The last one is also called cancelled, which nobody asked for.
-    broken("went_back", "went_back", "went_back");
+    checkAnswer("wk-1", job, overlapping, 200, "done");
+    checkAnswer("wk-1", job, overlapping, 200, "running");
+    assertViolations();
+    checkAnswer("wk-1", job, simulation.now() + 1, 200, "running");
+    checkAnswer("wk-1", job, overlapping, 200, "aborted");
+    // The last answer breaks the rule twice: the state changed, and no cancellation was requested.
+    assertViolations("went_back", "went_back", "went_back");
   }
 
   @Test
-  void leftWaitingBesideRoom() {
-    UserJob job = job("wk-1");
-    answered("wk-1", job, 0, 201, "queued");
-    machine("a", false);
+  void leftWaitingDespiteCapacity() {
+    UserJob job = submitJob("wk-1");
+    checkAnswer("wk-1", job, 0, 201, "queued");
+    rentMachine("a", false);
     simulation.runUntil(89);
-    broken();
+    assertViolations();
     simulation.runUntil(92);
-    broken("left_waiting");
+    assertViolations("left_waiting");
   }
 
   @Test
-  void withoutRoomItMayWait() {
-    UserJob job = job("wk-1");
+  void aJobMayWaitWithoutCapacity() {
+    UserJob job = submitJob("wk-1");
     job.zone = "b";
-    answered("wk-1", job, 0, 201, "queued");
-    machine("a", false);
+    checkAnswer("wk-1", job, 0, 201, "queued");
+    rentMachine("a", false);
     simulation.runUntil(200);
-    broken();
+    assertViolations();
   }
 
   @Test
-  void halfOfEachClassAndTeamIsServed() {
+  void halfOfEachClassAndTeamMustStart() {
     for (int i = 0; i < 3; i++) {
-      UserJob job = job("wk-" + i);
+      UserJob job = submitJob("wk-" + i);
       job.jobClass = i == 0 ? "rare" : "usual";
       job.team = i == 0 ? "blue" : "red";
-      job.beganAt = i == 0 ? -1 : simulation.now();
-      answered(job.id, job, 0, 201, "queued");
+      job.firstStartAt = i == 0 ? -1 : simulation.now();
+      checkAnswer(job.id, job, 0, 201, "queued");
     }
     simulation.runUntil(100);
-    rules.served(60);
-    broken("unserved", "unserved", "unserved");
+    rules.checkServed(60);
+    assertViolations("unserved", "unserved", "unserved");
   }
 
   @Test
-  void theLargestBeginsWithinFourMinutes() {
-    UserJob large = job("wk-1");
+  void theLargestJobsMustStartWithinFourMinutes() {
+    UserJob large = submitJob("wk-1");
     large.tasks = 10;
-    answered("wk-1", large, 0, 201, "queued");
+    checkAnswer("wk-1", large, 0, 201, "queued");
     for (int i = 2; i < 5; i++) {
-      UserJob small = job("wk-" + i);
-      small.beganAt = simulation.now();
-      answered(small.id, small, 0, 201, "queued");
+      UserJob small = submitJob("wk-" + i);
+      small.firstStartAt = simulation.now();
+      checkAnswer(small.id, small, 0, 201, "queued");
     }
     simulation.runUntil(250);
-    rules.served(60);
-    broken("unserved", "unserved");
+    rules.checkServed(60);
+    assertViolations("unserved", "unserved");
   }
 
   @Test
-  void whatCanNeverRunIsNotAccepted() {
-    rules.answeredOdd("a job", 201, 422);
-    rules.answeredOdd("a job", 400, 422);
-    rules.answeredOdd("a job", 503, 422);
-    broken("accepted", "accepted");
+  void invalidSubmissionsAreNotAccepted() {
+    rules.checkInvalidSubmission("a job", 201, 422);
+    rules.checkInvalidSubmission("a job", 400, 422);
+    rules.checkInvalidSubmission("a job", 503, 422);
+    assertViolations("accepted", "accepted");
   }
 }
--- a/src/test/java/org/sandford/scenario/ScenarioHosts.java
+++ b/src/test/java/org/sandford/scenario/ScenarioHosts.java
@@ -9,10 +9,10 @@
 import java.util.function.Function;
 import org.sandford.cluster.Cluster;
 
-/** Resolves the names that steps use for controllers, machines and their workers. */
+/** Resolves the words that steps use for controllers, machines and their workers. */
 final class ScenarioHosts {
-  /** Prefix of the keys that hold the machines' partitions of the assignment map. */
-  private static final String MAP_PARTITION = "c/machines/";
+  /** The prefix of the keys that hold the machines' partitions of the assignment map. */
+  private static final String MACHINES_PARTITION_PREFIX = "c/machines/";
 
   private final Simulation simulation;
   private final FakeStore store;
@@ -20,9 +20,9 @@
   private final SimulatedControllers controllers;
   private final Map<String, FakeWorker> workers;
   private final Function<String, FakeWorker> absentWorker;
-  private final Map<String, String> named = new HashMap<>();
+  private final Map<String, String> machinesByWord = new HashMap<>();
 
-  /** Takes {@code absentWorker} to make a worker for a machine that no longer exists. */
+  /** Uses {@code absentWorker} to create a worker for a machine that no longer exists. */
   ScenarioHosts(
       Simulation simulation,
       FakeStore store,
@@ -38,9 +38,9 @@
     this.absentWorker = absentWorker;
   }
 
-  /** The controllers and machines of a zone. */
-  Set<String> island(String zone) {
-    Set<String> hosts = new HashSet<>(inZone(zone));
+  /** Returns the controllers and machines of a zone. */
+  Set<String> hostsInZone(String zone) {
+    Set<String> hosts = new HashSet<>(machinesInZone(zone));
     List<String> labels = controllers.labels();
     for (int i = 0; i < labels.size(); i++) {
       if (controllers.zoneOf(i).equals(zone)) {
@@ -51,14 +51,14 @@
   }
 
   /**
-   * A controller's label; {@code leader} is the one that leads now, {@code owner:red} the one that
-   * owns the team, and {@code holder:m:1} the one that owns the machine, all by the store, or any
-   * that runs.
+   * Returns a controller's label. {@code leader} is the present leader, {@code owner:red} the owner
+   * of the team and {@code holder:m:1} the owner of the machine, all as stored; if that one does
+   * not run, any running controller is returned.
    */
   String controller(String word) {
     String id;
     if (word.equals("leader")) {
-      id = text(store.value("c/leader"), "id");
+      id = textField(store.value("c/leader"), "id");
     } else if (word.startsWith("owner:")) {
       id = teamOwner(word.substring("owner:".length()));
     } else if (word.startsWith("holder:")) {
@@ -67,57 +67,62 @@
       return word;
     }
     String label = id.replaceAll("#.*", "");
-    return controllers.isRunning(label) ? label : controllers.any();
+    return controllers.isRunning(label) ? label : controllers.anyRunning();
   }
 
-  /** The life that owns the team by the assignment map in the store, or an empty text. */
+  /** Returns the member id of the team's owner in the stored assignment map, or an empty string. */
   private String teamOwner(String team) {
     JsonNode teamsRecord = store.value(Cluster.TEAMS_KEY);
     return teamsRecord == null ? "" : teamsRecord.path("t").path(team).path(0).asText();
   }
 
-  /** The life that owns the machine by the assignment map in the store, or an empty text. */
+  /** Returns the member id of the machine's owner in the stored map, or an empty string. */
   private String machineOwner(String machine) {
     String owner = "";
-    for (int part = 0; store.has(MAP_PARTITION + part); part++) {
-      JsonNode record = store.value(MAP_PARTITION + part);
-      JsonNode place = record.path("m").path(machine);
-      owner = place.isMissingNode() ? owner : record.path("o").path(place.path(0).asInt()).asText();
+    for (int partition = 0; store.containsKey(MACHINES_PARTITION_PREFIX + partition); partition++) {
+      JsonNode record = store.value(MACHINES_PARTITION_PREFIX + partition);
+      JsonNode assignment = record.path("m").path(machine);
+      owner =
+          assignment.isMissingNode()
+              ? owner
+              : record.path("o").path(assignment.path(0).asInt()).asText();
     }
     return owner;
   }
 
-  private static String text(JsonNode record, String field) {
+  private static String textField(JsonNode record, String field) {
     return record == null ? "" : record.path(field).asText();
   }
 
-  /** The machines of a zone, which no controller is in that could still reach them. */
-  List<String> inZone(String zone) {
+  /** Returns the machines of a zone, without its controllers. */
+  List<String> machinesInZone(String zone) {
     return cloud.machines.values().stream()
         .filter(m -> m.zone.equals(zone))
         .map(m -> m.name)
         .toList();
   }
 
-  List<String> each(String label) {
+  List<String> controllers(String label) {
     return label.equals("all") ? controllers.labels() : List.of(controller(label));
   }
 
   /**
-   * A host's name; {@code of:wk-1/0} is the machine that runs the task, and {@code m:2} the third
-   * machine that was up when the word was first used, which it goes on to mean.
+   * Returns a host's name. {@code of:wk-1/0} is the machine that runs the task. {@code m:2} is the
+   * third machine that was up when the word was first used, and keeps that meaning.
    */
   String host(String word) {
     if (word.startsWith("m:")) {
-      return named.computeIfAbsent(
+      return machinesByWord.computeIfAbsent(
           word,
           w -> {
-            List<String> up =
+            List<String> candidates =
                 cloud.machines.values().stream()
-                    .filter(m -> m.worker != null && !named.containsValue(m.name))
+                    .filter(m -> m.worker != null && !machinesByWord.containsValue(m.name))
                     .map(m -> m.name)
                     .toList();
-            return up.isEmpty() ? "nowhere" : up.get(Integer.parseInt(w.substring(2)) % up.size());
+            return candidates.isEmpty()
+                ? "nowhere"
+                : candidates.get(Integer.parseInt(w.substring(2)) % candidates.size());
           });
     }
     if (!word.startsWith("of:")) {
@@ -125,8 +130,8 @@
     }
     for (FakeCloud.Rented m : cloud.machines.values()) {
       if (m.worker != null
-          && m.worker.held.values().stream()
-              .anyMatch(t -> !t.ended() && t.piece.equals(word.substring(3)))) {
+          && m.worker.tasks.values().stream()
+              .anyMatch(t -> !t.isEnded() && t.piece.equals(word.substring(3)))) {
         return m.name;
       }
     }
@@ -135,16 +140,16 @@
   }
 
   /**
-   * The worker of a machine; one that was given back meanwhile may still be named, and does
+   * Returns the worker of a machine; for a machine that was returned to the cloud, one that does
    * nothing.
    */
   FakeWorker worker(String word) {
     return workers.computeIfAbsent(
         host(word),
         name -> {
-          FakeWorker none = absentWorker.apply(name);
-          none.destroy();
-          return none;
+          FakeWorker worker = absentWorker.apply(name);
+          worker.destroy();
+          return worker;
         });
   }
 }
--- a/src/test/java/org/sandford/scenario/ScenarioScript.java
+++ b/src/test/java/org/sandford/scenario/ScenarioScript.java
@@ -9,11 +9,11 @@
 import org.sandford.settings.Settings;
 
 /**
- * A parsed scenario: the cluster that it asks for, and its steps in order of time. A line is a
+ * Holds a parsed scenario: the settings of its cluster, and its steps in order of time. A line is a
  * setting with its values, or {@code at SECONDS STEP ...}; {@code #} begins a comment.
  */
 final class ScenarioScript {
-  /** One step, with its place in the file for complaints. */
+  /** Holds one step, with its file and line for error messages. */
   record Step(double at, String file, int line, String text, List<String> words) {
     String verb() {
       return words.get(0);
@@ -23,31 +23,31 @@
       return words.get(index);
     }
 
-    boolean has(int index) {
+    boolean hasWord(int index) {
       return words.size() > index;
     }
 
-    int number(int index) {
+    int intAt(int index) {
       return Integer.parseInt(words.get(index));
     }
 
-    double amount(int index) {
+    double doubleAt(int index) {
       return Double.parseDouble(words.get(index));
     }
 
-    /** Whether the word is {@code on}. */
-    boolean on(int index) {
+    /** Returns whether the word is {@code on}. */
+    boolean isOn(int index) {
       return words.get(index).equals("on");
     }
 
-    IllegalArgumentException notUnderstood() {
-      return ScenarioScript.notUnderstood(file, line, text);
+    IllegalArgumentException syntaxError() {
+      return ScenarioScript.syntaxError(file, line, text);
     }
   }
 
   final List<Step> steps = new ArrayList<>();
 
-  /** Teams by name, with guarantee and limit. */
+  /** The teams by name, with guarantee and limit. */
   final Map<String, Settings.Team> teams = new LinkedHashMap<>();
 
   final double reportS;
@@ -56,7 +56,7 @@
   long seed = 7;
   int controllers = 3;
 
-  /** Machines that the cloud has in each zone, spot and ordinary ones each. */
+  /** The number of spot machines, and of on-demand machines, that the cloud has in each zone. */
   int poolSize = 4;
 
   int machinesAtStart = 1;
@@ -65,27 +65,27 @@
   double writeRps = 50;
 
   /**
-   * The limits that the store will have from some moment after the upgrade; 0 when it keeps its
-   * own. A production version does not know them.
+   * The limits that the store will have at some time after the upgrade; 0 when they don't change.
+   * The production version does not know them.
    */
   int nextValueBytes;
 
   int nextTxnOps;
 
-  /** Whether controllers behave as the production version does until they are upgraded. */
-  boolean beginsWithProduction;
+  /** Whether controllers run the production version until they are upgraded. */
+  boolean startsWithProductionVersion;
 
   double gangWaitS = 30;
   double gangPeerS = 8;
-  double until = 60;
+  double endS = 60;
 
   private final Map<String, Consumer<Step>> settings = new HashMap<>();
 
-  /** Parses with the periods of heartbeats, leases and cancellations given as {@code workers}. */
-  ScenarioScript(String name, List<String> lines, double[] workers) {
-    reportS = workers[0];
-    leaseS = workers[1];
-    cancelS = workers[2];
+  /** Parses a scenario with the given periods of heartbeats, leases and cancellations. */
+  ScenarioScript(String name, List<String> lines, double[] workerPeriods) {
+    reportS = workerPeriods[0];
+    leaseS = workerPeriods[1];
+    cancelS = workerPeriods[2];
     registerSettings();
     for (int i = 0; i < lines.size(); i++) {
       String text = lines.get(i).replaceAll("#.*", "").trim();
@@ -99,10 +99,10 @@
   }
 
   /**
-   * The periods of heartbeats, leases and cancellations that a scenario file asks for, or the usual
-   * ones.
+   * Returns the periods of heartbeats, leases and cancellations of each {@code workers} line, or
+   * the default ones.
    */
-  static List<double[]> workers(List<String> lines) {
+  static List<double[]> workerPeriods(List<String> lines) {
     List<double[]> out = new ArrayList<>();
     for (String line : lines) {
       String[] words = line.trim().split("\\s+", -1);
@@ -120,50 +120,52 @@
 
   private void registerSettings() {
     settings.put("seed", line -> seed = Long.parseLong(line.word(1)));
-    settings.put("controllers", line -> controllers = line.number(1));
-    settings.put("pool", line -> poolSize = line.number(1));
-    settings.put("workers", line -> {}); // Read by workers().
-    settings.put("machines", line -> machinesAtStart = line.number(1));
-    settings.put("value_bytes", line -> valueBytes = line.number(1));
+    settings.put("controllers", line -> controllers = line.intAt(1));
+    settings.put("pool", line -> poolSize = line.intAt(1));
+    settings.put("workers", line -> {}); // Read by workerPeriods().
+    settings.put("machines", line -> machinesAtStart = line.intAt(1));
+    settings.put("value_bytes", line -> valueBytes = line.intAt(1));
     settings.put("next_limits", this::readNextLimits);
-    settings.put("begins_old", line -> beginsWithProduction = true);
-    settings.put("txn_ops", line -> txnOps = line.number(1));
-    settings.put("write_rps", line -> writeRps = line.amount(1));
+    settings.put("begins_old", line -> startsWithProductionVersion = true);
+    settings.put("txn_ops", line -> txnOps = line.intAt(1));
+    settings.put("write_rps", line -> writeRps = line.doubleAt(1));
     settings.put("gang_times", this::readGangTimes);
-    settings.put("until", line -> until = line.amount(1));
+    settings.put("until", line -> endS = line.doubleAt(1));
     settings.put("team", this::readTeam);
   }
 
-  private void parse(String file, int number, String text) {
+  private void parse(String file, int lineNumber, String text) {
     List<String> words = List.of(text.split("\\s+", -1));
     if (words.get(0).equals("at")) {
       double at = Double.parseDouble(words.get(1));
-      steps.add(new Step(at, file, number, text, words.subList(2, words.size())));
+      steps.add(new Step(at, file, lineNumber, text, words.subList(2, words.size())));
       return;
     }
     Consumer<Step> setting = settings.get(words.get(0));
     if (setting == null) {
-      throw notUnderstood(file, number, text);
+      throw syntaxError(file, lineNumber, text);
     }
-    setting.accept(new Step(0, file, number, text, words));
+    setting.accept(new Step(0, file, lineNumber, text, words));
   }
 
   private void readNextLimits(Step line) {
-    nextValueBytes = line.number(1);
-    nextTxnOps = line.number(2);
+    nextValueBytes = line.intAt(1);
+    nextTxnOps = line.intAt(2);
   }
 
   private void readGangTimes(Step line) {
-    gangWaitS = line.amount(1);
-    gangPeerS = line.amount(2);
+    gangWaitS = line.doubleAt(1);
+    gangPeerS = line.doubleAt(2);
   }
 
   private void readTeam(Step line) {
-    Settings.Team team = Settings.Team.ofFacts(line.word(1), line.amount(2), line.amount(3), 0, 0);
+    Settings.Team team =
+        Settings.Team.ofFacts(line.word(1), line.doubleAt(2), line.doubleAt(3), 0, 0);
     teams.put(team.name(), team);
   }
 
-  private static IllegalArgumentException notUnderstood(String file, int line, String text) {
-    return new IllegalArgumentException(file + ":" + line + ": not understood: " + text);
+  private static IllegalArgumentException syntaxError(String file, int line, String text) {
+    return new IllegalArgumentException(
+        file + ":" + line + ": unknown step, setting or value: " + text);
   }
 }
--- a/src/test/java/org/sandford/scenario/ScenarioTest.java
+++ b/src/test/java/org/sandford/scenario/ScenarioTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays every scenario file; each must break no rule and meet its expectations. */
+/** Plays every scenario file; each must violate no rule and meet its expectations. */
 class ScenarioTest {
   private static final Path FILES = Path.of("src/test/resources/scenarios");
 
@@ -27,20 +27,20 @@
     return files.stream().flatMap(ScenarioTest::plays);
   }
 
-  /** One play for each setting of reports and leases that the file names. */
+  /** Returns one test for each {@code workers} line of the file. */
   private static Stream<DynamicTest> plays(Path file) {
     try {
       String name = file.getFileName().toString();
       List<String> lines = Files.readAllLines(file);
-      return ScenarioScript.workers(lines).stream()
+      return ScenarioScript.workerPeriods(lines).stream()
           .map(
-              workers ->
+              periods ->
                   DynamicTest.dynamicTest(
-                      name + " " + Arrays.toString(workers),
+                      name + " " + Arrays.toString(periods),
                       () -> {
-                        Scenario scenario = new Scenario(name, lines, workers);
+                        Scenario scenario = new Scenario(name, lines, periods);
                         assertEquals(List.of(), scenario.play());
-                        assertTrue(scenario.rules.started > 0, "no task was started");
+                        assertTrue(scenario.rules.startCount > 0, "no task was started");
                       }));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/src/test/java/org/sandford/scenario/Simulation.java
+++ b/src/test/java/org/sandford/scenario/Simulation.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 import org.sandford.runtime.EventLoop;
 
-/** Simulated time and network: one queue of events, run in order, the same on every run. */
+/** Simulates time and network with one queue of events; every run with a seed is the same. */
 final class Simulation {
-  private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+  private record Event(long at, long order, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
       int byTime = Long.compare(at, other.at);
@@ -23,7 +23,7 @@
     }
   }
 
-  /** A cut holds messages back and delivers them when it heals, or loses them. */
+  /** Whether a cut holds messages back until it is healed, or loses them. */
   enum Cut {
     HOLD,
     LOSE
@@ -31,36 +31,34 @@
 
   static final long MS = 1_000_000L;
 
-  /** Whether copies of workers' reports come late: from seconds to well over a lease. */
+  /** Whether copies of workers' reports arrive late, by 1 s to three lease periods. */
   boolean lateReports;
 
-  /** Whether late copies of requests follow now and then, which also puts them out of order. */
+  /** Whether some requests are followed by a late copy, which can arrive out of order. */
   boolean duplicates;
 
-  /** Milliseconds by which such a copy is late at the most. */
+  /** The maximum delay of such a copy, in milliseconds. */
   int duplicatesLateMs = 2_000;
 
   final Random random;
-  final List<String> broken = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
   private final PriorityQueue<Event> queue = new PriorityQueue<>();
   private final Map<String, Cut> cuts = new LinkedHashMap<>();
-  private final Map<String, ArrayDeque<Runnable>> held = new LinkedHashMap<>();
+  private final Map<String, ArrayDeque<Runnable>> heldMessages = new LinkedHashMap<>();
   private final Map<String, Long> lastArrival = new HashMap<>();
 
-  /**
-   * Hosts of a zone that is cut off from all outside it, and goes on inside; empty when none is.
-   */
-  private final Set<String> island = new HashSet<>();
+  /** Hosts that reach each other but no host outside the set; empty when none are isolated. */
+  private final Set<String> isolatedHosts = new HashSet<>();
 
-  /** Milliseconds that every message takes longer. */
-  int slowMs;
+  /** The delay added to every message, in milliseconds. */
+  int messageDelayMs;
 
-  /** Hears of all orders that go straight to a worker, when they leave. */
+  /** Receives all orders that controllers send directly to a worker, when they are sent. */
   java.util.function.Consumer<com.fasterxml.jackson.databind.JsonNode> ordersSent = orders -> {};
 
-  private final Set<String> dead = new HashSet<>();
+  private final Set<String> deadHosts = new HashSet<>();
   private long now = 1_000 * MS;
-  private long order;
+  private long nextOrder;
 
   Simulation(long seed) {
     random = new Random(seed);
@@ -74,12 +72,12 @@
     return (now - 1_000 * MS) / 1e9;
   }
 
-  void at(long when, Runnable what) {
-    queue.add(new Event(Math.max(when, now), order++, what));
+  void at(long when, Runnable action) {
+    queue.add(new Event(Math.max(when, now), nextOrder++, action));
   }
 
-  void after(long millis, Runnable what) {
-    at(now + millis * MS, what);
+  void after(long millis, Runnable action) {
+    at(now + millis * MS, action);
   }
 
   void runUntil(double seconds) {
@@ -87,107 +85,107 @@
     while (!queue.isEmpty() && queue.peek().at <= end) {
       Event event = queue.poll();
       now = event.at;
-      event.what.run();
+      event.action.run();
     }
     now = Math.max(now, end);
   }
 
-  void broke(String rule, String what) {
-    broken.add(String.format("%.3f s %s: %s", seconds(), rule, what));
+  void recordViolation(String rule, String detail) {
+    violations.add(String.format("%.3f s %s: %s", seconds(), rule, detail));
   }
 
-  private static String pair(String from, String to) {
+  private static String link(String from, String to) {
     return from + ">" + to;
   }
 
-  void cut(String a, String b, Cut how) {
-    cutOneWay(a, b, how);
-    cutOneWay(b, a, how);
+  void cut(String a, String b, Cut kind) {
+    cutOneWay(a, b, kind);
+    cutOneWay(b, a, kind);
   }
 
-  /** Only what goes from the one to the other is held back or lost. */
-  void cutOneWay(String from, String to, Cut how) {
-    cuts.put(pair(from, to), how);
+  /** Cuts one direction: only messages from the first host to the second are affected. */
+  void cutOneWay(String from, String to, Cut kind) {
+    cuts.put(link(from, to), kind);
   }
 
-  boolean anyCut() {
-    return !cuts.isEmpty() || !island.isEmpty();
+  boolean hasCuts() {
+    return !cuts.isEmpty() || !isolatedHosts.isEmpty();
   }
 
   /**
-   * Cuts these hosts off from all others, which holds back what is said; an empty set ends that.
+   * Isolates these hosts from all others and holds messages back; an empty set ends the isolation.
    */
-  void cutOff(Set<String> hosts) {
-    island.clear();
-    island.addAll(hosts);
-    deliverHeld();
+  void isolate(Set<String> hosts) {
+    isolatedHosts.clear();
+    isolatedHosts.addAll(hosts);
+    deliverHeldMessages();
   }
 
   void heal(String a, String b) {
-    cuts.remove(pair(a, b));
-    cuts.remove(pair(b, a));
-    deliverHeld();
+    cuts.remove(link(a, b));
+    cuts.remove(link(b, a));
+    deliverHeldMessages();
   }
 
-  private void deliverHeld() {
-    for (Iterator<Map.Entry<String, ArrayDeque<Runnable>>> it = held.entrySet().iterator();
+  private void deliverHeldMessages() {
+    for (Iterator<Map.Entry<String, ArrayDeque<Runnable>>> it = heldMessages.entrySet().iterator();
         it.hasNext(); ) {
-      Map.Entry<String, ArrayDeque<Runnable>> e = it.next();
-      String[] ends = e.getKey().split(">", -1);
+      Map.Entry<String, ArrayDeque<Runnable>> link = it.next();
+      String[] ends = link.getKey().split(">", -1);
       if (cutBetween(ends[0], ends[1]) == null) {
-        e.getValue().forEach(message -> after(1, message));
+        link.getValue().forEach(message -> after(1, message));
         it.remove();
       }
     }
   }
 
-  /** The cut between two hosts, or null; {@code *} stands for every host. */
+  /** Returns the cut between two hosts, or null; {@code *} stands for every host. */
   Cut cutBetween(String from, String to) {
-    if (island.contains(from) != island.contains(to)) {
+    if (isolatedHosts.contains(from) != isolatedHosts.contains(to)) {
       return Cut.HOLD;
     }
-    for (String pair : new String[] {pair(from, to), pair(from, "*"), pair("*", to)}) {
-      if (cuts.containsKey(pair)) {
-        return cuts.get(pair);
+    for (String link : new String[] {link(from, to), link(from, "*"), link("*", to)}) {
+      if (cuts.containsKey(link)) {
+        return cuts.get(link);
       }
     }
     return null;
   }
 
-  void setDead(String host, boolean is) {
-    if (is) {
-      dead.add(host);
+  void setDead(String host, boolean down) {
+    if (down) {
+      deadHosts.add(host);
     } else {
-      dead.remove(host);
+      deadHosts.remove(host);
     }
   }
 
   boolean isDead(String host) {
-    return dead.contains(host);
+    return deadHosts.contains(host);
   }
 
-  /** Carries a message; messages between the same two hosts stay in order. */
+  /** Delivers a message unless a cut affects it; those between the same two hosts stay in order. */
   void carry(String from, String to, Runnable arrive) {
     Cut cut = cutBetween(from, to);
     if (cut == Cut.LOSE) {
       return;
     }
     if (cut == Cut.HOLD) {
-      held.computeIfAbsent(pair(from, to), p -> new ArrayDeque<>()).addLast(arrive);
+      heldMessages.computeIfAbsent(link(from, to), p -> new ArrayDeque<>()).addLast(arrive);
       return;
     }
-    long arrival = now + MS / 2 + random.nextInt((int) MS) + slowMs * MS;
-    arrival = Math.max(arrival, lastArrival.getOrDefault(pair(from, to), 0L));
-    lastArrival.put(pair(from, to), arrival);
+    long arrival = now + MS / 2 + random.nextInt((int) MS) + messageDelayMs * MS;
+    arrival = Math.max(arrival, lastArrival.getOrDefault(link(from, to), 0L));
+    lastArrival.put(link(from, to), arrival);
     at(arrival, arrive);
   }
 
-  /** The loop of one life of one process; what it queued dies with it. */
+  /** The event loop of one process; its queued events are discarded when the process dies. */
   final class ProcessLoop implements EventLoop {
     private final double drift;
     boolean alive = true;
 
-    /** Until then the process stands still while its clocks run on. */
+    /** The time until which the process is frozen while its clocks run on. */
     private long frozenUntil;
 
     ProcessLoop(double drift) {
@@ -207,12 +205,12 @@
       return now < frozenUntil;
     }
 
-    /** Runs it now, or, in the order in which it came, once the process goes on. */
-    void whenAwake(Runnable what) {
+    /** Runs the action now, or in order of arrival once the process is no longer frozen. */
+    void whenAwake(Runnable action) {
       if (now < frozenUntil) {
-        Simulation.this.at(frozenUntil, () -> whenAwake(what));
+        Simulation.this.at(frozenUntil, () -> whenAwake(action));
       } else if (alive) {
-        what.run();
+        action.run();
       }
     }
 
@@ -222,24 +220,24 @@
     }
 
     @Override
-    public Timer after(long millis, Runnable what) {
-      boolean[] off = {false};
+    public Timer after(long millis, Runnable action) {
+      boolean[] cancelled = {false};
       Simulation.this.after(
           millis,
           () -> {
             whenAwake(
                 () -> {
-                  if (!off[0]) {
-                    what.run();
+                  if (!cancelled[0]) {
+                    action.run();
                   }
                 });
           });
-      return () -> off[0] = true;
+      return () -> cancelled[0] = true;
     }
 
     @Override
-    public void execute(Runnable what) {
-      Simulation.this.at(now, () -> whenAwake(what));
+    public void execute(Runnable action) {
+      Simulation.this.at(now, () -> whenAwake(action));
     }
   }
 }
--- a/src/test/java/org/sandford/scenario/UserJob.java
+++ b/src/test/java/org/sandford/scenario/UserJob.java
@@ -5,51 +5,51 @@
 import java.util.List;
 import java.util.Set;
 
-/** A job as its user knows it. */
+/** Holds a job as its user knows it, and what the simulation observes of it. */
 final class UserJob {
   String id;
   String team = "red";
-  boolean standing;
+  boolean service;
   String rank = "normal";
   int tasks = 1;
   double cpus = 1;
-  double ram = 1;
+  double ramGb = 1;
   double runS = 5;
   boolean spot;
   boolean spreadAcrossZones;
   boolean sameZone;
-  boolean fails;
+  boolean tasksFail;
   boolean gang;
 
-  /** Progress of a gang that its next attempt starts from. */
+  /** The saved progress from which the next attempt of a gang starts. */
   double savedProgressS;
 
-  double stoppedAtProgressS;
+  double progressAtStopS;
 
-  /**
-   * How often a gang ran with all its tasks, and how often it was stopped with its progress saved.
-   */
+  /** Counts the times that a gang ran with all its tasks. */
   int gangRuns;
 
+  /** Counts the times that a gang was stopped with its progress saved. */
   int orderlyStops;
+
   String zone = "";
   double checkpointIntervalS;
   String jobClass = "any";
 
-  /** Run times of single tasks, by number; the others run as long as the job says. */
-  final List<Double> runs = new ArrayList<>();
+  /** The run times of the first tasks, by task number; the others run for {@code runS}. */
+  final List<Double> taskRunTimesS = new ArrayList<>();
 
-  final Set<String> finished = new HashSet<>();
-  boolean abortAsked;
-  long abortedAt;
-  int status;
-  long since;
-  long lastAnswer;
+  final Set<String> finishedTasks = new HashSet<>();
+  boolean cancelRequested;
+  long cancelConfirmedAt;
+  int submissionStatus;
+  long submittedAt;
+  long lastAnswerAt;
 
-  /** When its first task started. */
-  long beganAt = -1;
+  /** The time at which its first task started, or its gang first ran; -1 before that. */
+  long firstStartAt = -1;
 
-  double runSOf(int task) {
-    return task < runs.size() ? runs.get(task) : runS;
+  double runTimeSOf(int task) {
+    return task < taskRunTimesS.size() ? taskRunTimesS.get(task) : runS;
   }
 }
