--- a/src/main/java/org/sandford/api/CancellationHandler.java
+++ b/src/main/java/org/sandford/api/CancellationHandler.java
@@ -63,6 +63,6 @@
                 ApiResponse.later(
                     HttpStatus.SERVICE_UNAVAILABLE,
                     "the team's owner does not answer",
-                    ApiConstants.RETRY_AFTER_NO_AUTHORITY_S)));
+                    ApiConstants.RETRY_AFTER_UNAVAILABLE_S)));
   }
 }
--- a/src/main/java/org/sandford/api/FirstAnswer.java
+++ b/src/main/java/org/sandford/api/FirstAnswer.java
@@ -31,7 +31,7 @@
         ApiResponse.later(
             HttpStatus.SERVICE_UNAVAILABLE,
             "no answer in time",
-            ApiConstants.RETRY_AFTER_NO_AUTHORITY_S));
+            ApiConstants.RETRY_AFTER_UNAVAILABLE_S));
   }
 
   private void deliverOnce(ApiResponse answer) {
--- a/src/main/java/org/sandford/api/ForwardedRequestHandler.java
+++ b/src/main/java/org/sandford/api/ForwardedRequestHandler.java
@@ -76,6 +76,6 @@
         : ApiResponse.later(
             HttpStatus.SERVICE_UNAVAILABLE,
             "the job's owner is not ready",
-            ApiConstants.RETRY_AFTER_NO_AUTHORITY_S);
+            ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
   }
 }
--- a/src/main/java/org/sandford/api/JobFeasibility.java
+++ b/src/main/java/org/sandford/api/JobFeasibility.java
@@ -61,6 +61,6 @@
   }
 
   private static boolean exceeds(double amount, double limit) {
-    return amount > limit + PlacementConstants.EPSILON;
+    return amount > limit + PlacementConstants.RESOURCE_EPSILON;
   }
 }
--- a/src/main/java/org/sandford/cancel/Cancellations.java
+++ b/src/main/java/org/sandford/cancel/Cancellations.java
@@ -156,7 +156,7 @@
     Settings.Facts facts = settings.facts();
     long now = loop.nanos();
     double graceS =
-        facts.cancelS() * (1 - TimeConstants.CLOCK_DRIFT)
+        facts.cancelS() * (1 - TimeConstants.MAX_CLOCK_DRIFT)
             - facts.leaseS()
             - TimeConstants.KILL_MARGIN_S;
     if (!knowsCancellationsOlderThan(nanos(graceS), now)) {
@@ -164,7 +164,8 @@
     }
     // A task whose job is not confirmed may be of a job that was cancelled before this controller
     // started. The other controllers applied the same bound, so such a task ends within cancel_s.
-    double boundS = facts.cancelS() * (1 + TimeConstants.CLOCK_DRIFT) + TimeConstants.KILL_MARGIN_S;
+    double boundS =
+        facts.cancelS() * (1 + TimeConstants.MAX_CLOCK_DRIFT) + TimeConstants.KILL_MARGIN_S;
     return jobsConfirmedOpen
         || storeView.terminalStatesCompleteSince().isOlderThan(nanos(boundS), now);
   }
--- a/src/main/java/org/sandford/cloud/InstanceType.java
+++ b/src/main/java/org/sandford/cloud/InstanceType.java
@@ -50,7 +50,7 @@
 
   /** Returns whether one empty machine has room for these resources. */
   public boolean fits(double requiredCpus, double requiredGpus, double requiredRamGb) {
-    double tolerance = PlacementConstants.EPSILON;
+    double tolerance = PlacementConstants.RESOURCE_EPSILON;
     return requiredCpus <= cpus + tolerance
         && requiredGpus <= gpus + tolerance
         && requiredRamGb <= ram + tolerance;
--- a/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
@@ -91,7 +91,7 @@
     store.transact(
         conditions,
         ops,
-        Priority.MAP,
+        Priority.ASSIGNMENT_MAP,
         result -> {
           writing = false;
           if (result.outcome() == Outcome.APPLIED) {
--- a/src/main/java/org/sandford/cluster/LeaderElection.java
+++ b/src/main/java/org/sandford/cluster/LeaderElection.java
@@ -124,7 +124,7 @@
     store.transact(
         Map.of(ClusterKeys.LEADER, leaderRevision()),
         List.of(claim),
-        Priority.RENEWAL,
+        Priority.LIVENESS,
         result -> {
           campaigning = false;
           if (result.outcome() != Outcome.APPLIED) {
--- a/src/main/java/org/sandford/cluster/SessionMembership.java
+++ b/src/main/java/org/sandford/cluster/SessionMembership.java
@@ -147,7 +147,7 @@
     joinAttempts.beginAttempt();
     transitionTo(State.UNREGISTERED);
     leaseExpiresAt = loop.nanos();
-    store.read(incarnationKey(), Priority.RENEWAL, joinAttempts.guard(this::onIncarnationRead));
+    store.read(incarnationKey(), Priority.LIVENESS, joinAttempts.guard(this::onIncarnationRead));
   }
 
   /**
@@ -195,7 +195,7 @@
     store.transact(
         Map.of(incarnationKey(), previousRevision),
         List.of(Op.put(incarnationKey(), RecordVersions.announcement(number))),
-        Priority.RENEWAL,
+        Priority.LIVENESS,
         joinAttempts.guard(result -> onIncarnationRegistered(number, result)));
   }
 
@@ -236,7 +236,7 @@
   /** Counts the lease's term from before its request was sent, on a clock that may be slow. */
   private static long leaseExpiry(long sentAt) {
     double usableMs =
-        ClusterConstants.SESSION_LEASE_TTL_MS * (1 - TimeConstants.CLOCK_DRIFT)
+        ClusterConstants.SESSION_LEASE_TTL_MS * (1 - TimeConstants.MAX_CLOCK_DRIFT)
             - ClusterConstants.SESSION_LEASE_MARGIN_MS;
     return sentAt + (long) (usableMs * 1e6);
   }
@@ -251,7 +251,7 @@
                 ClusterKeys.MEMBERS + settings.label(),
                 IncarnationIds.toJson(registered.id),
                 leaseId)),
-        Priority.RENEWAL,
+        Priority.LIVENESS,
         joinAttempts.guard(result -> onMemberKeyWritten(registered, result)));
   }
 
--- a/src/main/java/org/sandford/constants/ApiConstants.java
+++ b/src/main/java/org/sandford/constants/ApiConstants.java
@@ -29,7 +29,7 @@
   public static final double MAX_QUEUED_READS_S = 0.5;
 
   /** Seconds in {@code Retry-After} while no controller may decide; about as long as a failover. */
-  public static final int RETRY_AFTER_NO_AUTHORITY_S = 1;
+  public static final int RETRY_AFTER_UNAVAILABLE_S = 1;
 
   /** Seconds in {@code Retry-After} under overload. */
   public static final int RETRY_AFTER_OVERLOAD_S = 2;
@@ -41,7 +41,7 @@
   public static final int TERMINAL_STATE_CACHE_SIZE = 20_000;
 
   /** Maximum entries of the cache of jobs' teams and task sizes; the store has all of them. */
-  public static final int JOB_TEAM_CACHE_SIZE = 20_000;
+  public static final int JOB_FACTS_CACHE_SIZE = 20_000;
 
   /**
    * Fraction of the sockets for commands to workers; a failover needs more and takes several
--- a/src/main/java/org/sandford/constants/JobConstants.java
+++ b/src/main/java/org/sandford/constants/JobConstants.java
@@ -9,7 +9,7 @@
    * terminal state is written. Until then each task's worker keeps its result, so a failover loses
    * none.
    */
-  public static final int PROGRESS_WRITE_MS = 8_000;
+  public static final int PROGRESS_WRITE_DELAY_MS = 8_000;
 
   /** Minimum milliseconds between planning rounds; changes in between share the next one. */
   public static final int PLAN_INTERVAL_MS = 40;
@@ -57,7 +57,7 @@
    * Milliseconds for which a machine's owner keeps a reservation: long enough for preemption and
    * the next planning round.
    */
-  public static final int RESERVATION_MS = 2_500;
+  public static final int RESERVATION_TTL_MS = 2_500;
 
   /** Seconds after which free resources are reserved for a job that waits to start as a whole. */
   public static final double RESERVE_AFTER_S = 40.0;
--- a/src/main/java/org/sandford/constants/MachineConstants.java
+++ b/src/main/java/org/sandford/constants/MachineConstants.java
@@ -23,13 +23,13 @@
   public static final int RECONCILE_RETRY_MS = 700;
 
   /** Consecutive failed commands after which starts are sent in heartbeat responses instead. */
-  public static final int BROKEN_AFTER_FAILED_COMMANDS = 2;
+  public static final int MAX_CONSECUTIVE_FAILED_COMMANDS = 2;
 
   /** Fencing tokens of one generation, which limits how often an owner may raise its token. */
   public static final long TOKENS_PER_GENERATION = 1L << 16;
 
   /** Seconds beyond {@code cancel_s} until a former owner's lease has certainly expired. */
-  public static final double INHERITED_LEASE_MARGIN_S = 2.0;
+  public static final double FORMER_LEASE_MARGIN_S = 2.0;
 
   /** Minimum milliseconds between listings of the open jobs, as a failover requests many. */
   public static final int OPEN_JOBS_LIST_INTERVAL_MS = 700;
--- a/src/main/java/org/sandford/constants/PlacementConstants.java
+++ b/src/main/java/org/sandford/constants/PlacementConstants.java
@@ -26,5 +26,5 @@
   public static final double COST_ON_DEMAND = 2.0;
 
   /** Tolerance for comparing amounts of a resource, since sums of decimal amounts are not exact. */
-  public static final double EPSILON = 1e-6;
+  public static final double RESOURCE_EPSILON = 1e-6;
 }
--- a/src/main/java/org/sandford/constants/ScalingConstants.java
+++ b/src/main/java/org/sandford/constants/ScalingConstants.java
@@ -43,7 +43,7 @@
   public static final double BOOT_TIMEOUT_EXTRA_S = 20.0;
 
   /** Seconds for which an idle machine is kept by default. */
-  public static final double IDLE_DECOMMISSION_S = 18.0;
+  public static final double DEFAULT_IDLE_DECOMMISSION_S = 18.0;
 
   /** Milliseconds after which an unfinished drain is cancelled. */
   public static final int DRAIN_TIMEOUT_MS = 60_000;
--- a/src/main/java/org/sandford/constants/TimeConstants.java
+++ b/src/main/java/org/sandford/constants/TimeConstants.java
@@ -8,7 +8,7 @@
   public static final double NANOS_PER_S = 1e9;
 
   /** Maximum relative drift of two monotonic clocks, doubled as both ends of a bound may drift. */
-  public static final double CLOCK_DRIFT = 0.001;
+  public static final double MAX_CLOCK_DRIFT = 0.001;
 
   /** Seconds added to bounds that end in a kill, as timers fire late when the CPU is overloaded. */
   public static final double KILL_MARGIN_S = 1.5;
--- a/src/main/java/org/sandford/controller/Controller.java
+++ b/src/main/java/org/sandford/controller/Controller.java
@@ -250,7 +250,7 @@
   private void applyConfirmedCancellation(String job) {
     if (!terminalStates.contains(job)) {
       audit.terminalStateLearned(job, "aborted", AuditLog.LearnedBy.PEER, 0);
-      jobEnded(job, TerminalStates.ABORTED);
+      jobEnded(job, TerminalStates.CANCELLED_RECORD);
     }
   }
 
--- a/src/main/java/org/sandford/job/CancelledJobs.java
+++ b/src/main/java/org/sandford/job/CancelledJobs.java
@@ -49,7 +49,7 @@
     this.loop = loop;
     this.jobReader = jobReader;
     this.terminalStatesCompleteSince = terminalStatesCompleteSince;
-    double retentionS = cancelS * (1 + TimeConstants.CLOCK_DRIFT) + TimeConstants.KILL_MARGIN_S;
+    double retentionS = cancelS * (1 + TimeConstants.MAX_CLOCK_DRIFT) + TimeConstants.KILL_MARGIN_S;
     this.retentionNanos = (long) (retentionS * 1e9);
   }
 
--- a/src/main/java/org/sandford/job/DemandReport.java
+++ b/src/main/java/org/sandford/job/DemandReport.java
@@ -36,7 +36,7 @@
     private static int countFitting(double remaining, double perTask) {
       return perTask <= 0
           ? Integer.MAX_VALUE
-          : (int) Math.floor((remaining + PlacementConstants.EPSILON) / perTask);
+          : (int) Math.floor((remaining + PlacementConstants.RESOURCE_EPSILON) / perTask);
     }
 
     void deduct(Job job, int tasks) {
--- a/src/main/java/org/sandford/job/GangReservation.java
+++ b/src/main/java/org/sandford/job/GangReservation.java
@@ -31,7 +31,8 @@
   /** Returns whether the owners keep the reservation for long enough to start the gang. */
   boolean isValid(long nowMs) {
     return !ownerByMachine.isEmpty()
-        && nowMs - reservedAtMs < JobConstants.RESERVATION_MS - GangConstants.GANG_START_DELAY_MS;
+        && nowMs - reservedAtMs
+            < JobConstants.RESERVATION_TTL_MS - GangConstants.GANG_START_DELAY_MS;
   }
 
   /** Clears the reservation and passes each machine with its owner to {@code releaseAction}. */
--- a/src/main/java/org/sandford/job/JobAcceptance.java
+++ b/src/main/java/org/sandford/job/JobAcceptance.java
@@ -231,6 +231,6 @@
 
   private static ApiResponse unavailable(String reason) {
     return ApiResponse.later(
-        HttpStatus.SERVICE_UNAVAILABLE, reason, ApiConstants.RETRY_AFTER_NO_AUTHORITY_S);
+        HttpStatus.SERVICE_UNAVAILABLE, reason, ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
   }
 }
--- a/src/main/java/org/sandford/job/JobCancellation.java
+++ b/src/main/java/org/sandford/job/JobCancellation.java
@@ -39,7 +39,7 @@
     } else if (job.phase() == Job.Phase.STORING) {
       answer.accept(
           ApiResponse.later(
-              503, "the job is just being stored", ApiConstants.RETRY_AFTER_NO_AUTHORITY_S));
+              503, "the job is just being stored", ApiConstants.RETRY_AFTER_UNAVAILABLE_S));
     } else {
       cancelOwned(job, answer);
     }
--- a/src/main/java/org/sandford/job/JobReader.java
+++ b/src/main/java/org/sandford/job/JobReader.java
@@ -31,7 +31,7 @@
   private final AuditLog audit;
   private final Cache<String, ImmutableFacts> factsByJob =
       Caffeine.newBuilder()
-          .maximumSize(ApiConstants.JOB_TEAM_CACHE_SIZE)
+          .maximumSize(ApiConstants.JOB_FACTS_CACHE_SIZE)
           .executor(Runnable::run)
           .build();
 
--- a/src/main/java/org/sandford/job/JobRecords.java
+++ b/src/main/java/org/sandford/job/JobRecords.java
@@ -102,7 +102,7 @@
   private void scheduleProgressWrite(Job job) {
     job.progressWriteScheduled = true;
     loop.after(
-        JobConstants.PROGRESS_WRITE_MS,
+        JobConstants.PROGRESS_WRITE_DELAY_MS,
         () -> {
           job.progressWriteScheduled = false;
           boolean stillNeeded =
@@ -225,7 +225,7 @@
 
   private static ApiResponse unavailable(String reason) {
     return ApiResponse.later(
-        HttpStatus.SERVICE_UNAVAILABLE, reason, ApiConstants.RETRY_AFTER_NO_AUTHORITY_S);
+        HttpStatus.SERVICE_UNAVAILABLE, reason, ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
   }
 
   /** Answers all users who wait for the job's cancellation. */
--- a/src/main/java/org/sandford/job/OwnedJobs.java
+++ b/src/main/java/org/sandford/job/OwnedJobs.java
@@ -73,7 +73,7 @@
       return ApiResponse.later(
           503,
           "no controller speaks for team " + team + " just now",
-          ApiConstants.RETRY_AFTER_NO_AUTHORITY_S);
+          ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
     }
     return null;
   }
--- a/src/main/java/org/sandford/job/PreemptibleTasks.java
+++ b/src/main/java/org/sandford/job/PreemptibleTasks.java
@@ -207,7 +207,7 @@
         gpus += unfinished * other.spec.gpus();
       }
     }
-    return cpus <= team.limits.cpus() + PlacementConstants.EPSILON
-        && gpus <= team.limits.gpus() + PlacementConstants.EPSILON;
+    return cpus <= team.limits.cpus() + PlacementConstants.RESOURCE_EPSILON
+        && gpus <= team.limits.gpus() + PlacementConstants.RESOURCE_EPSILON;
   }
 }
--- a/src/main/java/org/sandford/job/Preemptor.java
+++ b/src/main/java/org/sandford/job/Preemptor.java
@@ -95,7 +95,7 @@
       nextScanAtMs = roundStartedAtMs + JobConstants.PREEMPTION_SCAN_MS;
       preemptionRequestedAtMs
           .values()
-          .removeIf(at -> loop.millis() - at > JobConstants.RESERVATION_MS);
+          .removeIf(at -> loop.millis() - at > JobConstants.RESERVATION_TTL_MS);
       preemptibleTasks = new PreemptibleTasks(machineSnapshots, settings.facts(), loop.nanos());
     }
     return preemptibleTasks;
--- a/src/main/java/org/sandford/job/Team.java
+++ b/src/main/java/org/sandford/job/Team.java
@@ -195,7 +195,7 @@
 
   /** Returns how many more tasks of this size the team's limit allows. */
   int tasksWithinLimit(double cpus, double gpus) {
-    double epsilon = PlacementConstants.EPSILON;
+    double epsilon = PlacementConstants.RESOURCE_EPSILON;
     double count = Integer.MAX_VALUE;
     if (cpus > 0) {
       count = Math.min(count, (limits.cpusMax() - cpusUsed() + epsilon) / cpus);
--- a/src/main/java/org/sandford/job/TeamOwnership.java
+++ b/src/main/java/org/sandford/job/TeamOwnership.java
@@ -111,7 +111,7 @@
       job.placements().forEach(candidates::removePlacement);
       ApiResponse retryLater =
           ApiResponse.later(
-              503, "the team's owner changes", ApiConstants.RETRY_AFTER_NO_AUTHORITY_S);
+              503, "the team's owner changes", ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
       job.submissionCallbacks.forEach(callback -> callback.accept(retryLater));
       job.cancellationCallbacks.forEach(callback -> callback.accept(retryLater));
     }
--- a/src/main/java/org/sandford/job/TerminalStates.java
+++ b/src/main/java/org/sandford/job/TerminalStates.java
@@ -20,7 +20,7 @@
  */
 public final class TerminalStates {
   /** The terminal record of a cancelled job of which nothing else is known. */
-  public static final JsonNode ABORTED =
+  public static final JsonNode CANCELLED_RECORD =
       JobRecordCodec.stateOnlyTerminalRecord(TerminalState.CANCELLED);
 
   /** A state that is kept until {@code expiresAt}, in nanoseconds of the loop's monotonic clock. */
--- a/src/main/java/org/sandford/machine/CommandChannel.java
+++ b/src/main/java/org/sandford/machine/CommandChannel.java
@@ -49,7 +49,7 @@
    * responses to heartbeats.
    */
   boolean isBroken() {
-    return consecutiveFailures >= MachineConstants.BROKEN_AFTER_FAILED_COMMANDS;
+    return consecutiveFailures >= MachineConstants.MAX_CONSECUTIVE_FAILED_COMMANDS;
   }
 
   boolean isProbing() {
--- a/src/main/java/org/sandford/machine/Reservations.java
+++ b/src/main/java/org/sandford/machine/Reservations.java
@@ -31,7 +31,7 @@
             request.cpus,
             request.gpus,
             request.ram);
-    long expiresAt = now + JobConstants.RESERVATION_MS * 1_000_000L;
+    long expiresAt = now + JobConstants.RESERVATION_TTL_MS * 1_000_000L;
     byJob.put(request.forJob, new HeldReservation(reservation, expiresAt));
   }
 
--- a/src/main/java/org/sandford/machine/StartAdmission.java
+++ b/src/main/java/org/sandford/machine/StartAdmission.java
@@ -83,9 +83,9 @@
     }
     ReservedResources reserved = machine.reservedByPrecedingJobs(request, loop.nanos());
     boolean fits =
-        request.cpus <= freeCpus - reserved.cpus() + PlacementConstants.EPSILON
-            && request.gpus <= freeGpus - reserved.gpus() + PlacementConstants.EPSILON
-            && request.ram <= freeRam - reserved.ram() + PlacementConstants.EPSILON;
+        request.cpus <= freeCpus - reserved.cpus() + PlacementConstants.RESOURCE_EPSILON
+            && request.gpus <= freeGpus - reserved.gpus() + PlacementConstants.RESOURCE_EPSILON
+            && request.ram <= freeRam - reserved.ram() + PlacementConstants.RESOURCE_EPSILON;
     return fits ? Optional.empty() : Optional.of(StartRefusal.INSUFFICIENT_RESOURCES);
   }
 }
--- a/src/main/java/org/sandford/machine/WorkerLease.java
+++ b/src/main/java/org/sandford/machine/WorkerLease.java
@@ -69,9 +69,9 @@
    * @param cancelS the deployment's {@code cancel_s}
    */
   boolean isExpiryCertain(boolean isGenerationSeen, double leaseS, double cancelS, long now) {
-    double drift = 1 + TimeConstants.CLOCK_DRIFT;
+    double drift = 1 + TimeConstants.MAX_CLOCK_DRIFT;
     double ownLeaseS = leaseS * drift + TimeConstants.KILL_MARGIN_S;
-    double formerLeaseS = cancelS * drift + MachineConstants.INHERITED_LEASE_MARGIN_S;
+    double formerLeaseS = cancelS * drift + MachineConstants.FORMER_LEASE_MARGIN_S;
     boolean ownLeaseExpired =
         lastRenewal.isOlderThan(ownLeaseS, now) && generationFirstSeen.isOlderThan(ownLeaseS, now);
     boolean formerLeaseExpired = isGenerationSeen || (now - assignedAt) / 1e9 > formerLeaseS;
--- a/src/main/java/org/sandford/placement/Preemption.java
+++ b/src/main/java/org/sandford/placement/Preemption.java
@@ -249,7 +249,7 @@
   }
 
   private boolean fitsOneTask(double[] freeResources) {
-    double epsilon = PlacementConstants.EPSILON;
+    double epsilon = PlacementConstants.RESOURCE_EPSILON;
     return request.cpus() <= freeResources[0] + epsilon
         && request.gpus() <= freeResources[1] + epsilon
         && request.ram() <= freeResources[2] + epsilon;
--- a/src/main/java/org/sandford/placement/ResourceRequest.java
+++ b/src/main/java/org/sandford/placement/ResourceRequest.java
@@ -98,7 +98,7 @@
 
   /** Returns how many of the tasks fit into the machine's unreserved free resources. */
   public int countFitting(CandidateMachine candidate) {
-    double epsilon = PlacementConstants.EPSILON;
+    double epsilon = PlacementConstants.RESOURCE_EPSILON;
     double[] reserved = candidate.reservedForOthers(this);
     double fitting = Integer.MAX_VALUE;
     if (cpus > 0) {
--- a/src/main/java/org/sandford/scaling/Drain.java
+++ b/src/main/java/org/sandford/scaling/Drain.java
@@ -201,9 +201,9 @@
     }
 
     boolean fits(TaskSnapshot task) {
-      return task.cpus <= cpus + PlacementConstants.EPSILON
-          && task.gpus <= gpus + PlacementConstants.EPSILON
-          && task.ram <= ram + PlacementConstants.EPSILON;
+      return task.cpus <= cpus + PlacementConstants.RESOURCE_EPSILON
+          && task.gpus <= gpus + PlacementConstants.RESOURCE_EPSILON
+          && task.ram <= ram + PlacementConstants.RESOURCE_EPSILON;
     }
 
     void allocate(TaskSnapshot task) {
--- a/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
+++ b/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
@@ -238,8 +238,9 @@
           double zoneCpus = cpusByZone.getOrDefault(zone, 0.0);
           boolean better =
               best == null
-                  || price < bestPrice - PlacementConstants.EPSILON
-                  || (price < bestPrice + PlacementConstants.EPSILON && zoneCpus < bestZoneCpus);
+                  || price < bestPrice - PlacementConstants.RESOURCE_EPSILON
+                  || (price < bestPrice + PlacementConstants.RESOURCE_EPSILON
+                      && zoneCpus < bestZoneCpus);
           if (better) {
             best = pool;
             bestPrice = price;
--- a/src/main/java/org/sandford/settings/SettingsLoader.java
+++ b/src/main/java/org/sandford/settings/SettingsLoader.java
@@ -129,7 +129,8 @@
     double maxMachines =
         iniNumber(ini, config, "fleet.max_machines", ScalingConstants.DEFAULT_MAX_MACHINES, 1);
     double idleReturnS =
-        iniNumber(ini, config, "fleet.idle_return_s", ScalingConstants.IDLE_DECOMMISSION_S, 1);
+        iniNumber(
+            ini, config, "fleet.idle_return_s", ScalingConstants.DEFAULT_IDLE_DECOMMISSION_S, 1);
     String useSpot = config.getString("fleet.use_spot", "true");
     if (!useSpot.equals("true") && !useSpot.equals("false")) {
       throw new SettingsException(ini + ": fleet.use_spot: expected true or false, got " + useSpot);
--- a/src/main/java/org/sandford/store/RecordWriter.java
+++ b/src/main/java/org/sandford/store/RecordWriter.java
@@ -140,7 +140,7 @@
     unansweredWrites += writeCount;
     send(
         batch.writes,
-        hasTerminalStates ? Priority.MAP : Priority.RECORD,
+        hasTerminalStates ? Priority.ASSIGNMENT_MAP : Priority.RECORD,
         () -> {
           transactionsInFlight--;
           unansweredWrites -= writeCount;
--- a/src/main/java/org/sandford/store/StoreClient.java
+++ b/src/main/java/org/sandford/store/StoreClient.java
@@ -28,9 +28,9 @@
   /** Priorities of requests under a rate limit, highest first. */
   public enum Priority {
     /** Leases, leadership and watches, which are never delayed. */
-    RENEWAL,
+    LIVENESS,
     /** Listings, writes of the assignment map, and terminal states that a user waits for. */
-    MAP,
+    ASSIGNMENT_MAP,
     /** Other writes of job records. */
     RECORD,
     /** Reads of single keys, which fail at once when too many are queued. */
@@ -188,7 +188,8 @@
             + (afterKey.isEmpty() ? "" : "&since=" + urlEncoded(afterKey))
             + "&limit="
             + StoreConstants.STORE_PAGE_SIZE;
-    requests.send(Request.get(Priority.MAP, path, StoreConstants.STORE_CALL_TIMEOUT_MS), onReply);
+    requests.send(
+        Request.get(Priority.ASSIGNMENT_MAP, path, StoreConstants.STORE_CALL_TIMEOUT_MS), onReply);
   }
 
   /**
@@ -246,7 +247,7 @@
   public void createLease(int ttlMs, Consumer<LeaseGrant> onAnswer) {
     byte[] body = Json.bytes(Json.object().put("ttl_ms", ttlMs));
     requests.send(
-        Request.post(Priority.RENEWAL, 0, "/holds", body, StoreConstants.STORE_CALL_TIMEOUT_MS),
+        Request.post(Priority.LIVENESS, 0, "/holds", body, StoreConstants.STORE_CALL_TIMEOUT_MS),
         reply -> onAnswer.accept(leaseGrant(reply)));
   }
 
@@ -260,7 +261,7 @@
   public void renewLease(long leaseId, Consumer<LeaseRenewal> onAnswer) {
     requests.send(
         Request.post(
-            Priority.RENEWAL,
+            Priority.LIVENESS,
             0,
             "/holds/" + leaseId + "/renew",
             EMPTY_OBJECT,
@@ -289,7 +290,7 @@
             + "&block_ms="
             + ClusterConstants.WATCH_BLOCK_MS;
     requests.send(
-        Request.get(Priority.RENEWAL, path, ClusterConstants.WATCH_CALL_TIMEOUT_MS),
+        Request.get(Priority.LIVENESS, path, ClusterConstants.WATCH_CALL_TIMEOUT_MS),
         reply -> onAnswer.accept(watchResult(reply)));
   }
 
--- a/src/main/java/org/sandford/store/StoreRequestQueue.java
+++ b/src/main/java/org/sandford/store/StoreRequestQueue.java
@@ -121,7 +121,7 @@
       while (!queue.isEmpty()) {
         QueuedRequest head = queue.peekFirst();
         // Renewals ignore the rate limits: a lost session lease causes a failover.
-        if (priority != Priority.RENEWAL) {
+        if (priority != Priority.LIVENESS) {
           if (!requestRate.allows(1)) {
             sendQueuedAfter(requestRate.waitMillis(1));
             return;
--- a/src/test/java/org/sandford/machine/ReservationsTest.java
+++ b/src/test/java/org/sandford/machine/ReservationsTest.java
@@ -13,7 +13,7 @@
 class ReservationsTest {
   private static final int URGENT = 1;
   private static final int NORMAL = 2;
-  private static final long EXPIRED = (JobConstants.RESERVATION_MS + 1) * 1_000_000L;
+  private static final long EXPIRED = (JobConstants.RESERVATION_TTL_MS + 1) * 1_000_000L;
 
   private final Reservations reservations = new Reservations();
 
