--- a/src/main/java/org/sandford/api/Api.java
+++ b/src/main/java/org/sandford/api/Api.java
@@ -75,7 +75,7 @@
     } else if (path.startsWith(JOB_PREFIX)) {
       routeJob(method, path.substring(JOB_PREFIX.length()), answer);
     } else {
-      answer.accept(ApiResponse.refuse(HttpStatus.NOT_FOUND, "there is nothing at " + path));
+      answer.accept(ApiResponse.refusal(HttpStatus.NOT_FOUND, "there is nothing at " + path));
     }
   }
 
@@ -91,7 +91,7 @@
             ? idAndSuffix.substring(0, idAndSuffix.length() - CANCEL_SUFFIX.length())
             : idAndSuffix;
     if (!JobParser.isJobId(id)) {
-      answer.accept(ApiResponse.refuse(HttpStatus.NOT_FOUND, "no job has this id"));
+      answer.accept(ApiResponse.refusal(HttpStatus.NOT_FOUND, "no job has this id"));
     } else if (cancel) {
       allowOnly("POST", method, answer, () -> cancel(id, answer));
     } else {
@@ -105,7 +105,7 @@
       handler.run();
     } else {
       answer.accept(
-          ApiResponse.refuse(
+          ApiResponse.refusal(
               HttpStatus.METHOD_NOT_ALLOWED, "only " + allowed + " is allowed here"));
     }
   }
--- a/src/main/java/org/sandford/api/CancellationHandler.java
+++ b/src/main/java/org/sandford/api/CancellationHandler.java
@@ -45,10 +45,10 @@
     } else if (result instanceof JobReadResult.Open open) {
       cancelAtOwner(id, open.spec().team(), answer);
     } else if (result instanceof JobReadResult.Absent) {
-      answer.accept(ApiResponse.refuse(HttpStatus.NOT_FOUND, "no job has this id"));
+      answer.accept(ApiResponse.refusal(HttpStatus.NOT_FOUND, "no job has this id"));
     } else {
       answer.accept(
-          ApiResponse.later(
+          ApiResponse.retryLater(
               HttpStatus.SERVICE_UNAVAILABLE, "the job's state is not known just now", 1));
     }
   }
@@ -60,7 +60,7 @@
         answer,
         () ->
             answer.accept(
-                ApiResponse.later(
+                ApiResponse.retryLater(
                     HttpStatus.SERVICE_UNAVAILABLE,
                     "the team's owner does not answer",
                     ApiConstants.RETRY_AFTER_UNAVAILABLE_S)));
--- a/src/main/java/org/sandford/api/FirstAnswer.java
+++ b/src/main/java/org/sandford/api/FirstAnswer.java
@@ -28,7 +28,7 @@
 
   private void answerDeadlineExceeded() {
     deliverOnce(
-        ApiResponse.later(
+        ApiResponse.retryLater(
             HttpStatus.SERVICE_UNAVAILABLE,
             "no answer in time",
             ApiConstants.RETRY_AFTER_UNAVAILABLE_S));
--- a/src/main/java/org/sandford/api/ForwardedRequestHandler.java
+++ b/src/main/java/org/sandford/api/ForwardedRequestHandler.java
@@ -46,7 +46,7 @@
     } else if (isOfKind(request, UserRequestKind.CANCEL)) {
       cancel(request.job, answer);
     } else {
-      answer.accept(ApiResponse.refuse(HttpStatus.BAD_REQUEST, "unknown call " + request.verb));
+      answer.accept(ApiResponse.refusal(HttpStatus.BAD_REQUEST, "unknown call " + request.verb));
     }
   }
 
@@ -58,7 +58,9 @@
     return jobs.answers()
         .fromMemory(id)
         .orElseGet(
-            () -> ApiResponse.later(HttpStatus.SERVICE_UNAVAILABLE, "only the store can tell", 1));
+            () ->
+                ApiResponse.retryLater(
+                    HttpStatus.SERVICE_UNAVAILABLE, "only the store can tell", 1));
   }
 
   private void cancel(String id, Consumer<ApiResponse> answer) {
@@ -71,9 +73,9 @@
   /** Answers 503 for a job that is open in the store, since this controller is still loading it. */
   private static ApiResponse cancellationAnswerFor(ApiResponse storeAnswer) {
     return storeAnswer.status() == HttpStatus.NOT_FOUND
-            || TerminalState.isTerminal(storeAnswer.state())
+            || TerminalState.isTerminal(storeAnswer.jobStatus())
         ? storeAnswer
-        : ApiResponse.later(
+        : ApiResponse.retryLater(
             HttpStatus.SERVICE_UNAVAILABLE,
             "the job's owner is not ready",
             ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
--- a/src/main/java/org/sandford/api/HealthHandler.java
+++ b/src/main/java/org/sandford/api/HealthHandler.java
@@ -30,6 +30,6 @@
         cluster.assignmentMapLoaded() && (cluster.sessionLeaseValid() || links.anyLive());
     return healthy
         ? ApiResponse.of(HttpStatus.OK, Json.object().put("status", "up"))
-        : ApiResponse.later(HttpStatus.SERVICE_UNAVAILABLE, "not ready yet", 1);
+        : ApiResponse.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "not ready yet", 1);
   }
 }
--- a/src/main/java/org/sandford/api/JobFeasibility.java
+++ b/src/main/java/org/sandford/api/JobFeasibility.java
@@ -37,9 +37,9 @@
 
   private static boolean canHostTask(JobSpec job, InstanceType type) {
     return (job.allowedInstanceTypes().isEmpty()
-            || job.allowedInstanceTypes().contains(type.kind()))
+            || job.allowedInstanceTypes().contains(type.name()))
         && (job.zone().isEmpty() || type.zones().contains(job.zone()))
-        && type.fits(job.cpus(), job.gpus(), job.ram());
+        && type.fits(job.cpus(), job.gpus(), job.ramGb());
   }
 
   /** Counts one task of a job array, whose tasks may run in turn, and all tasks of other jobs. */
--- a/src/main/java/org/sandford/api/OwnerForwarding.java
+++ b/src/main/java/org/sandford/api/OwnerForwarding.java
@@ -95,7 +95,7 @@
       Consumer<ApiResponse> answer,
       Runnable onUnreachable) {
     ForwardedRequest request = new ForwardedRequest(++lastCallId, kind.wireName(), id, body);
-    TeamAssignment assignment = cluster.teams().of().get(team);
+    TeamAssignment assignment = cluster.teams().assignments().get(team);
     String ownerLabel = assignment == null ? "" : Cluster.labelOf(assignment.owner());
     if (ownerLabel.equals(ownLabel)) {
       localHandler.handle(request, answer);
@@ -139,8 +139,8 @@
             answerBody,
             response.retryAfterS,
             new Provenance.Forwarded(pending.ownerLabel));
-    if (answer.status() == HttpStatus.OK && TerminalState.isTerminal(answer.state())) {
-      terminalStates.put(answerBody.path("name_id").asText(), TerminalState.of(answer.state()));
+    if (answer.status() == HttpStatus.OK && TerminalState.isTerminal(answer.jobStatus())) {
+      terminalStates.put(answerBody.path("name_id").asText(), TerminalState.of(answer.jobStatus()));
     }
     pending.answer.accept(answer);
   }
--- a/src/main/java/org/sandford/api/PollHandler.java
+++ b/src/main/java/org/sandford/api/PollHandler.java
@@ -56,7 +56,7 @@
   }
 
   private boolean isOwnedElsewhere(String team) {
-    TeamAssignment assignment = cluster.teams().of().get(team);
+    TeamAssignment assignment = cluster.teams().assignments().get(team);
     return assignment != null && !assignment.owner().equals(cluster.incarnationId());
   }
 }
--- a/src/main/java/org/sandford/api/SubmissionHandler.java
+++ b/src/main/java/org/sandford/api/SubmissionHandler.java
@@ -49,7 +49,7 @@
       spec = JobParser.parse(body);
       if (autoscaler.instanceTypes().isEmpty()) {
         answer.accept(
-            ApiResponse.later(
+            ApiResponse.retryLater(
                 HttpStatus.SERVICE_UNAVAILABLE, "the machine types are not known yet", 1));
         return;
       }
@@ -60,7 +60,7 @@
     }
     if (spec.gang() && !recordVersions.allKnowGangs()) {
       answer.accept(
-          ApiResponse.later(
+          ApiResponse.retryLater(
               HttpStatus.SERVICE_UNAVAILABLE,
               "not all controllers know gangs yet",
               ApiConstants.RETRY_AFTER_OVERLOAD_S));
@@ -86,7 +86,7 @@
   /** Rejects a job unless it was accepted before, since an accepted job stays accepted. */
   private void answerRejection(
       String id, JobRejectedException rejection, Consumer<ApiResponse> answer) {
-    ApiResponse refusal = ApiResponse.refuse(rejection.status(), rejection.getMessage());
+    ApiResponse refusal = ApiResponse.refusal(rejection.status(), rejection.getMessage());
     if (id.isEmpty()) {
       answer.accept(refusal);
       return;
--- a/src/main/java/org/sandford/api/UserAnswers.java
+++ b/src/main/java/org/sandford/api/UserAnswers.java
@@ -69,16 +69,17 @@
   private ApiResponse finish(UserRequestKind kind, String id, ApiResponse answer) {
     ApiResponse current = reportsOpenJob(answer) ? jobAnswers.ended(id).orElse(answer) : answer;
     if (current.status() == HttpStatus.OK
-        && current.state().equals(TerminalState.CANCELLED.wireName())) {
+        && current.jobStatus().equals(TerminalState.CANCELLED.wireName())) {
       cancellations.confirmed(id);
     }
-    audit.answered(kind.wireName(), id, current.status(), current.state(), current.basis());
+    audit.answered(
+        kind.wireName(), id, current.status(), current.jobStatus(), current.provenance());
     return current;
   }
 
   /** Returns whether the answer reports an open job, which may be out of date by now. */
   private static boolean reportsOpenJob(ApiResponse answer) {
     return answer.status() == HttpStatus.CREATED
-        || (answer.status() == HttpStatus.OK && !TerminalState.isTerminal(answer.state()));
+        || (answer.status() == HttpStatus.OK && !TerminalState.isTerminal(answer.jobStatus()));
   }
 }
--- a/src/main/java/org/sandford/cloud/CloudClient.java
+++ b/src/main/java/org/sandford/cloud/CloudClient.java
@@ -30,7 +30,7 @@
   public record ListedInstance(
       String name,
       String address,
-      String kind,
+      String instanceType,
       String zone,
       boolean spot,
       String status,
--- a/src/main/java/org/sandford/cloud/InstanceType.java
+++ b/src/main/java/org/sandford/cloud/InstanceType.java
@@ -8,22 +8,22 @@
 /**
  * An instance type that the cloud offers.
  *
- * @param kind its name in the cloud
+ * @param name its name in the cloud
  * @param cpus CPUs of a machine
  * @param gpus accelerators of a machine
- * @param ram memory of a machine, in GB
- * @param price price per hour of an on-demand machine
+ * @param ramGb memory of a machine, in GB
+ * @param onDemandPrice price per hour of an on-demand machine
  * @param spotPrice price per hour of a spot machine
  * @param bootS nominal boot time, in seconds
  * @param fetchGbPerS download rate of images, in GB per second
  * @param zones zones in which it is offered
  */
 public record InstanceType(
-    String kind,
+    String name,
     double cpus,
     double gpus,
-    double ram,
-    double price,
+    double ramGb,
+    double onDemandPrice,
     double spotPrice,
     double bootS,
     double fetchGbPerS,
@@ -45,7 +45,7 @@
 
   /** Returns the price per hour of a spot machine or an on-demand machine. */
   public double price(boolean spot) {
-    return spot ? spotPrice : price;
+    return spot ? spotPrice : onDemandPrice;
   }
 
   /** Returns whether one empty machine has room for these resources. */
@@ -53,6 +53,6 @@
     double tolerance = PlacementConstants.RESOURCE_EPSILON;
     return requiredCpus <= cpus + tolerance
         && requiredGpus <= gpus + tolerance
-        && requiredRamGb <= ram + tolerance;
+        && requiredRamGb <= ramGb + tolerance;
   }
 }
--- a/src/main/java/org/sandford/cluster/AssignmentMap.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMap.java
@@ -31,12 +31,18 @@
    * @param owner empty until a member was assigned
    * @param generation grows with each change of any owner in the map; 0 before the first owner
    * @param address host and port of the worker agent, or empty while it is not known
-   * @param kind the instance type
+   * @param instanceType the name of its instance type
    */
   public record MachineAssignment(
-      String owner, long generation, String address, String kind, String zone, boolean spot) {
-    static MachineAssignment withoutOwner(String address, String kind, String zone, boolean spot) {
-      return new MachineAssignment("", 0, address, kind, zone, spot);
+      String owner,
+      long generation,
+      String address,
+      String instanceType,
+      String zone,
+      boolean spot) {
+    static MachineAssignment withoutOwner(
+        String address, String instanceType, String zone, boolean spot) {
+      return new MachineAssignment("", 0, address, instanceType, zone, spot);
     }
 
     /** Returns whether the worker agent's address is known, so that tasks may be started. */
@@ -45,11 +51,11 @@
     }
 
     MachineAssignment withOwner(String newOwner, long newGeneration) {
-      return new MachineAssignment(newOwner, newGeneration, address, kind, zone, spot);
+      return new MachineAssignment(newOwner, newGeneration, address, instanceType, zone, spot);
     }
 
     MachineAssignment withAddress(String newAddress) {
-      return new MachineAssignment(owner, generation, newAddress, kind, zone, spot);
+      return new MachineAssignment(owner, generation, newAddress, instanceType, zone, spot);
     }
   }
 
@@ -58,9 +64,9 @@
    *
    * @param revision the store's revision; 0 before the first write
    * @param lastGeneration the last generation that was assigned
-   * @param of the assignments by team, sorted
+   * @param assignments the assignments by team, sorted
    */
-  public record Teams(long revision, long lastGeneration, Map<String, TeamAssignment> of) {
+  public record Teams(long revision, long lastGeneration, Map<String, TeamAssignment> assignments) {
     static final Teams NONE = new Teams(0, 0, Map.of());
   }
 
@@ -79,13 +85,13 @@
    * @param lastGeneration the last generation that was assigned
    * @param partitions the partitions by number; if several hold a machine, the highest number takes
    *     precedence
-   * @param of the assignments by machine
+   * @param assignments the assignments by machine
    */
   public record Machines(
       long revision,
       long lastGeneration,
       Map<Integer, Partition> partitions,
-      Map<String, MachineAssignment> of) {
+      Map<String, MachineAssignment> assignments) {
     static final Machines NONE = new Machines(0, 0, Map.of(), Map.of());
 
     /** Returns these machines with the head and the partitions replaced by any that are newer. */
--- a/src/main/java/org/sandford/cluster/AssignmentMapCodec.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapCodec.java
@@ -34,7 +34,7 @@
     ObjectNode root = Json.object().put(LAST_GENERATION, teams.lastGeneration());
     ObjectNode assignments = root.putObject(TEAMS);
     teams
-        .of()
+        .assignments()
         .forEach(
             (name, team) -> assignments.putArray(name).add(team.owner()).add(team.generation()));
     return root;
@@ -83,7 +83,11 @@
   }
 
   private static String typeText(MachineAssignment machine) {
-    return machine.kind() + "/" + machine.zone() + "/" + (machine.spot() ? SPOT : ON_DEMAND);
+    return machine.instanceType()
+        + "/"
+        + machine.zone()
+        + "/"
+        + (machine.spot() ? SPOT : ON_DEMAND);
   }
 
   static Partition readPartition(JsonNode root, long revision) {
--- a/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
@@ -139,7 +139,7 @@
   private void applyWritten(
       long revision, Teams nextTeams, MachineAssignmentPlanner.Plan machines) {
     if (!nextTeams.equals(map.teams())) {
-      map.merge(new Teams(revision, nextTeams.lastGeneration(), nextTeams.of()));
+      map.merge(new Teams(revision, nextTeams.lastGeneration(), nextTeams.assignments()));
     }
     if (!machines.changed().isEmpty()) {
       Map<Integer, Partition> written = new TreeMap<>();
--- a/src/main/java/org/sandford/cluster/AssignmentReconciler.java
+++ b/src/main/java/org/sandford/cluster/AssignmentReconciler.java
@@ -104,7 +104,7 @@
   }
 
   private static boolean hasOwnerlessMachines(Machines machines, Set<String> memberIds) {
-    return machines.of().values().stream()
+    return machines.assignments().values().stream()
         .anyMatch(machine -> !memberIds.contains(machine.owner()));
   }
 
--- a/src/main/java/org/sandford/cluster/Cluster.java
+++ b/src/main/java/org/sandford/cluster/Cluster.java
@@ -55,9 +55,10 @@
    * A machine to be added to the assignment map.
    *
    * @param address host and port of its worker agent, or empty while it is not known
-   * @param kind the instance type
+   * @param instanceType the name of its instance type
    */
-  public record NewMachine(String name, String address, String kind, String zone, boolean spot) {
+  public record NewMachine(
+      String name, String address, String instanceType, String zone, boolean spot) {
     boolean hasAddress() {
       return !address.isEmpty();
     }
@@ -252,7 +253,9 @@
    */
   public Map<String, TeamAssignment> teamsToHandOver() {
     Map<String, TeamAssignment> handovers = new TreeMap<>();
-    reconciler.teamToHandOver().ifPresent(team -> handovers.put(team, map.teams().of().get(team)));
+    reconciler
+        .teamToHandOver()
+        .ifPresent(team -> handovers.put(team, map.teams().assignments().get(team)));
     return handovers;
   }
 
--- a/src/main/java/org/sandford/cluster/MachineAssignmentPlanner.java
+++ b/src/main/java/org/sandford/cluster/MachineAssignmentPlanner.java
@@ -86,7 +86,7 @@
                     .machines()
                     .keySet()
                     .forEach(name -> partitionOfMachine.put(name, number)));
-    machines.of().values().forEach(shardSizes::add);
+    machines.assignments().values().forEach(shardSizes::add);
   }
 
   Plan plan(Changes changes) {
@@ -115,7 +115,7 @@
   }
 
   private void add(Cluster.NewMachine machine, Set<String> removals) {
-    MachineAssignment known = machines.of().get(machine.name());
+    MachineAssignment known = machines.assignments().get(machine.name());
     if (known == null) {
       int number = partitionWithMostSpace();
       machinesPerPartition.merge(number, 1, Integer::sum);
@@ -123,7 +123,7 @@
           .put(
               machine.name(),
               MachineAssignment.withoutOwner(
-                  machine.address(), machine.kind(), machine.zone(), machine.spot()));
+                  machine.address(), machine.instanceType(), machine.zone(), machine.spot()));
     } else if (!known.hasAddress() && machine.hasAddress() && !removals.contains(machine.name())) {
       draft(partitionOfMachine.get(machine.name()))
           .put(machine.name(), known.withAddress(machine.address()));
--- a/src/main/java/org/sandford/cluster/PendingChanges.java
+++ b/src/main/java/org/sandford/cluster/PendingChanges.java
@@ -46,7 +46,7 @@
   }
 
   void addMachine(NewMachine machine) {
-    MachineAssignment known = map.machines().of().get(machine.name());
+    MachineAssignment known = map.machines().assignments().get(machine.name());
     boolean changesMap = known == null || (!known.hasAddress() && machine.hasAddress());
     if (!changesMap || removals.contains(machine.name())) {
       return;
@@ -66,7 +66,7 @@
   void removeMachine(String name, boolean urgent) {
     additions.remove(name);
     moves.remove(name);
-    if (!map.machines().of().containsKey(name)) {
+    if (!map.machines().assignments().containsKey(name)) {
       return;
     }
     removals.add(name);
@@ -88,7 +88,7 @@
 
   /** Records that the team's owner of this generation no longer acts for it. */
   void markHandedOver(String team, long generation) {
-    TeamAssignment current = map.teams().of().get(team);
+    TeamAssignment current = map.teams().assignments().get(team);
     if (current != null && current.generation() == generation) {
       handedOverGenerations.put(team, generation);
       onChange.run();
@@ -96,7 +96,7 @@
   }
 
   boolean isHandedOver(String team) {
-    TeamAssignment current = map.teams().of().get(team);
+    TeamAssignment current = map.teams().assignments().get(team);
     Long generation = handedOverGenerations.get(team);
     return current != null && generation != null && generation == current.generation();
   }
@@ -124,26 +124,26 @@
   /** Returns the machines to add that the map does not hold, in the order of the requests. */
   Collection<NewMachine> additionsNotInMap() {
     return additions.values().stream()
-        .filter(addition -> !map.machines().of().containsKey(addition.name()))
+        .filter(addition -> !map.machines().assignments().containsKey(addition.name()))
         .toList();
   }
 
   /** Drops the changes that the map contains by now and those that are no longer possible. */
   void dropCompleted() {
     additions.values().removeIf(this::isAdded);
-    removals.removeIf(name -> !map.machines().of().containsKey(name));
+    removals.removeIf(name -> !map.machines().assignments().containsKey(name));
     urgentRemovals.retainAll(removals);
     moves.entrySet().removeIf(move -> isMovedOrImpossible(move.getKey(), move.getValue()));
     handedOverGenerations.keySet().removeIf(team -> !isHandedOver(team));
   }
 
   private boolean isAdded(NewMachine addition) {
-    MachineAssignment current = map.machines().of().get(addition.name());
+    MachineAssignment current = map.machines().assignments().get(addition.name());
     return current != null && (current.hasAddress() || !addition.hasAddress());
   }
 
   private boolean isMovedOrImpossible(String machine, String newOwner) {
-    MachineAssignment current = map.machines().of().get(machine);
+    MachineAssignment current = map.machines().assignments().get(machine);
     return current == null || current.owner().equals(newOwner) || !members.contains(newOwner);
   }
 }
--- a/src/main/java/org/sandford/cluster/ShardBalancer.java
+++ b/src/main/java/org/sandford/cluster/ShardBalancer.java
@@ -51,7 +51,7 @@
             ClusterConstants.MIN_MACHINES_PER_REBALANCE,
             (int) (surplus * ClusterConstants.REBALANCED_SURPLUS_SHARE));
     List<String> candidates = shards.get(largest);
-    candidates.sort(byMachinesInZone(shards.get(smallest), machines.of()));
+    candidates.sort(byMachinesInZone(shards.get(smallest), machines.assignments()));
     Map<String, String> moves = new LinkedHashMap<>();
     candidates.stream().limit(moveCount).forEach(name -> moves.put(name, smallest));
     log.info("shards rebalanced machines={} from={} to={}", moveCount, largest, smallest);
@@ -62,7 +62,7 @@
     Map<String, List<String>> shards = new TreeMap<>();
     memberIds.forEach(member -> shards.put(member, new ArrayList<>()));
     machines
-        .of()
+        .assignments()
         .forEach(
             (name, machine) -> {
               List<String> shard = shards.get(machine.owner());
--- a/src/main/java/org/sandford/cluster/TeamAssignmentPlanner.java
+++ b/src/main/java/org/sandford/cluster/TeamAssignmentPlanner.java
@@ -37,7 +37,7 @@
     this.handedOver = handedOver;
     memberIds.forEach(member -> teamsByOwner.put(member, new ArrayList<>()));
     teams
-        .of()
+        .assignments()
         .forEach(
             (team, assignment) -> {
               if (retainsOwner(team, assignment)) {
@@ -55,7 +55,7 @@
    * unchanged if nothing changes. May be called once.
    */
   Teams plan(Set<String> configuredTeams) {
-    Map<String, TeamAssignment> assignments = new TreeMap<>(teams.of());
+    Map<String, TeamAssignment> assignments = new TreeMap<>(teams.assignments());
     long lastGeneration = teams.lastGeneration();
     Set<String> teamNames = new TreeSet<>(configuredTeams);
     teamNames.addAll(assignments.keySet());
--- a/src/main/java/org/sandford/job/AssignedMachines.java
+++ b/src/main/java/org/sandford/job/AssignedMachines.java
@@ -30,7 +30,7 @@
 
   /** Applies the changes of the map since the last call. */
   void applyAssignments() {
-    Map<String, MachineAssignment> current = cluster.machines().of();
+    Map<String, MachineAssignment> current = cluster.machines().assignments();
     if (current == appliedMap) {
       return;
     }
--- a/src/main/java/org/sandford/job/CandidateMachines.java
+++ b/src/main/java/org/sandford/job/CandidateMachines.java
@@ -147,7 +147,7 @@
         && !snapshot.quarantined
         && !snapshot.draining
         && machineSnapshots.isFromOwner(received)
-        && cluster.machines().of().get(snapshot.machine).hasAddress()
+        && cluster.machines().assignments().get(snapshot.machine).hasAddress()
         && allTasksDescribed(snapshot);
   }
 
@@ -172,7 +172,7 @@
             received.owner().equals(ownLabel),
             instanceType.cpus(),
             instanceType.gpus(),
-            instanceType.ram());
+            instanceType.ramGb());
     candidate.images = Set.copyOf(snapshot.images);
     if (!snapshot.reservations.isEmpty()) {
       candidate.reservations = reservationsOf(snapshot);
@@ -211,7 +211,7 @@
     for (TaskPlacement placement : placements) {
       if (!reported.contains(AttemptId.of(placement))) {
         JobSpec spec = placement.job.spec;
-        candidate.allocate(spec.cpus(), spec.gpus(), spec.ram());
+        candidate.allocate(spec.cpus(), spec.gpus(), spec.ramGb());
       }
     }
   }
--- a/src/main/java/org/sandford/job/DemandReport.java
+++ b/src/main/java/org/sandford/job/DemandReport.java
@@ -103,7 +103,7 @@
         spec.rank().number(),
         spec.cpus(),
         spec.gpus(),
-        spec.ram(),
+        spec.ramGb(),
         tasks,
         spec.spotAllowed(),
         spec.spreadAcrossZones(),
--- a/src/main/java/org/sandford/job/Job.java
+++ b/src/main/java/org/sandford/job/Job.java
@@ -330,7 +330,7 @@
         acceptedAt,
         spec.cpus(),
         spec.gpus(),
-        spec.ram(),
+        spec.ramGb(),
         spec.allowedInstanceTypes(),
         spec.zone(),
         spec.spotAllowed(),
--- a/src/main/java/org/sandford/job/JobAcceptance.java
+++ b/src/main/java/org/sandford/job/JobAcceptance.java
@@ -31,7 +31,7 @@
 
   private static final ApiResponse NOT_STORED = unavailable("the job cannot be stored just now");
   private static final ApiResponse OVERLOADED =
-      ApiResponse.later(
+      ApiResponse.retryLater(
           HttpStatus.TOO_MANY_REQUESTS,
           "too many submissions at once",
           ApiConstants.RETRY_AFTER_OVERLOAD_S);
@@ -115,7 +115,7 @@
       case APPLIED -> markAccepted(job, result.revision(), HttpStatus.CREATED);
       case REFUSED -> rejectSubmission(job, unavailable("the job could not be stored"));
       case CONFLICT -> {
-        if (result.failed().contains(Cluster.TEAMS_KEY)) {
+        if (result.failedKeys().contains(Cluster.TEAMS_KEY)) {
           rejectSubmission(job, unavailable("the teams' owners change"));
         } else {
           readBack(job);
@@ -230,7 +230,7 @@
   }
 
   private static ApiResponse unavailable(String reason) {
-    return ApiResponse.later(
+    return ApiResponse.retryLater(
         HttpStatus.SERVICE_UNAVAILABLE, reason, ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
   }
 }
--- a/src/main/java/org/sandford/job/JobAnswers.java
+++ b/src/main/java/org/sandford/job/JobAnswers.java
@@ -95,9 +95,9 @@
     if (result instanceof JobReadResult.Absent) {
       // The job may have been accepted during the reads.
       return fromMemory(id)
-          .orElseGet(() -> ApiResponse.refuse(HttpStatus.NOT_FOUND, "no job has this id"));
+          .orElseGet(() -> ApiResponse.refusal(HttpStatus.NOT_FOUND, "no job has this id"));
     }
-    return ApiResponse.later(
+    return ApiResponse.retryLater(
         HttpStatus.SERVICE_UNAVAILABLE, "the job's state is not known just now", 1);
   }
 }
--- a/src/main/java/org/sandford/job/JobCancellation.java
+++ b/src/main/java/org/sandford/job/JobCancellation.java
@@ -38,7 +38,7 @@
       answer.accept(refusal);
     } else if (job.phase() == Job.Phase.STORING) {
       answer.accept(
-          ApiResponse.later(
+          ApiResponse.retryLater(
               503, "the job is just being stored", ApiConstants.RETRY_AFTER_UNAVAILABLE_S));
     } else {
       cancelOwned(job, answer);
--- a/src/main/java/org/sandford/job/JobRecords.java
+++ b/src/main/java/org/sandford/job/JobRecords.java
@@ -192,7 +192,7 @@
       answerCancellations(job, unavailable("the store does not take the change"));
       loop.after(StoreConstants.STORE_RETRY_MS, () -> flush(job));
     } else if (result.outcome() == Outcome.CONFLICT
-        && result.failed().contains(Cluster.TEAMS_KEY)) {
+        && result.failedKeys().contains(Cluster.TEAMS_KEY)) {
       loop.after(StoreConstants.STORE_RETRY_MS, () -> flush(job));
     } else {
       job.recordWritePending = true;
@@ -224,7 +224,7 @@
   }
 
   private static ApiResponse unavailable(String reason) {
-    return ApiResponse.later(
+    return ApiResponse.retryLater(
         HttpStatus.SERVICE_UNAVAILABLE, reason, ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
   }
 
--- a/src/main/java/org/sandford/job/OwnedJobs.java
+++ b/src/main/java/org/sandford/job/OwnedJobs.java
@@ -70,7 +70,7 @@
   ApiResponse refusalFor(String team) {
     Team owned = teams.get(team);
     if (owned == null || !owned.isServed() || !cluster.sessionLeaseValid()) {
-      return ApiResponse.later(
+      return ApiResponse.retryLater(
           503,
           "no controller speaks for team " + team + " just now",
           ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
--- a/src/main/java/org/sandford/job/PlanningRound.java
+++ b/src/main/java/org/sandford/job/PlanningRound.java
@@ -101,8 +101,8 @@
     JobSpec spec = job.spec;
     return spec.gang()
         ? new WaitReason.InsufficientResourcesForGang(
-            tasks, spec.cpus(), spec.ram(), spec.sameZone())
-        : new WaitReason.InsufficientResources(tasks, spec.cpus(), spec.ram());
+            tasks, spec.cpus(), spec.ramGb(), spec.sameZone())
+        : new WaitReason.InsufficientResources(tasks, spec.cpus(), spec.ramGb());
   }
 
   /**
--- a/src/main/java/org/sandford/job/Preemptor.java
+++ b/src/main/java/org/sandford/job/Preemptor.java
@@ -129,7 +129,7 @@
 
   private static void deductResources(CandidateMachine candidate, Job job, int taskCount) {
     JobSpec spec = job.spec;
-    candidate.allocate(taskCount * spec.cpus(), taskCount * spec.gpus(), taskCount * spec.ram());
+    candidate.allocate(taskCount * spec.cpus(), taskCount * spec.gpus(), taskCount * spec.ramGb());
   }
 
   /**
@@ -216,7 +216,7 @@
             job.acceptedAt,
             taskCount * spec.cpus(),
             taskCount * spec.gpus(),
-            taskCount * spec.ram(),
+            taskCount * spec.ramGb(),
             victims.stream().map(v -> new Victim(v.job(), v.task(), v.attempt())).toList(),
             JobConstants.PREEMPTION_GRACE_S));
   }
--- a/src/main/java/org/sandford/job/TaskCommands.java
+++ b/src/main/java/org/sandford/job/TaskCommands.java
@@ -52,7 +52,7 @@
   }
 
   private boolean hasSameOwner(TaskPlacement placement, String incarnationId) {
-    MachineAssignment assignment = cluster.machines().of().get(placement.machine);
+    MachineAssignment assignment = cluster.machines().assignments().get(placement.machine);
     return assignment != null
         && assignment.generation() == placement.machineGeneration
         && assignment.owner().equals(incarnationId);
@@ -76,7 +76,7 @@
             job.acceptedAt,
             spec.cpus(),
             spec.gpus(),
-            spec.ram(),
+            spec.ramGb(),
             spec.image()));
   }
 
@@ -97,7 +97,7 @@
   }
 
   private void stop(Job job, String machine, int task, long attempt, int graceS) {
-    MachineAssignment assignment = cluster.machines().of().get(machine);
+    MachineAssignment assignment = cluster.machines().assignments().get(machine);
     if (assignment != null) {
       links.request(
           Cluster.labelOf(assignment.owner()),
@@ -114,7 +114,7 @@
 
   /** Allows the worker to discard the result of an ended attempt. */
   void acknowledgeExit(Job job, String machine, int task, long attempt) {
-    MachineAssignment assignment = cluster.machines().of().get(machine);
+    MachineAssignment assignment = cluster.machines().assignments().get(machine);
     Team team = owned.team(job.spec.team());
     if (assignment != null && team != null) {
       links.request(
--- a/src/main/java/org/sandford/job/TaskEquivalenceClass.java
+++ b/src/main/java/org/sandford/job/TaskEquivalenceClass.java
@@ -20,7 +20,7 @@
     return new TaskEquivalenceClass(
         spec.cpus(),
         spec.gpus(),
-        spec.ram(),
+        spec.ramGb(),
         spec.allowedInstanceTypes(),
         spec.zone(),
         spec.spotAllowed(),
--- a/src/main/java/org/sandford/job/TaskReconciler.java
+++ b/src/main/java/org/sandford/job/TaskReconciler.java
@@ -94,7 +94,7 @@
    * never be released, since the machine is not reported again.
    */
   private boolean isAuthoritative(MachineSnapshot snapshot) {
-    return snapshot.reconciled && cluster.machines().of().containsKey(snapshot.machine);
+    return snapshot.reconciled && cluster.machines().assignments().containsKey(snapshot.machine);
   }
 
   /**
--- a/src/main/java/org/sandford/job/TaskStarter.java
+++ b/src/main/java/org/sandford/job/TaskStarter.java
@@ -38,7 +38,8 @@
     int nextIndex = 0;
     job.setWaitReason(WaitReason.NONE);
     for (Planner.Allocation allocation : plan.allocations()) {
-      long generation = cluster.machines().of().get(allocation.candidate().machine).generation();
+      long generation =
+          cluster.machines().assignments().get(allocation.candidate().machine).generation();
       for (int i = 0; i < allocation.tasks(); i++) {
         long attempt = gang ? gangAttempt : team.nextAttempt();
         TaskPlacement placement =
--- a/src/main/java/org/sandford/job/TeamOwnership.java
+++ b/src/main/java/org/sandford/job/TeamOwnership.java
@@ -47,7 +47,7 @@
 
   /** Applies the assignment map; returns the acquired teams, whose jobs have yet to be loaded. */
   List<Team> applyAssignments() {
-    Map<String, TeamAssignment> assignments = cluster.teams().of();
+    Map<String, TeamAssignment> assignments = cluster.teams().assignments();
     for (Team team : new ArrayList<>(owned.teams().values())) {
       TeamAssignment assignment = assignments.get(team.name);
       if (assignment == null
@@ -110,7 +110,7 @@
       owned.jobs().remove(job.spec.id());
       job.placements().forEach(candidates::removePlacement);
       ApiResponse retryLater =
-          ApiResponse.later(
+          ApiResponse.retryLater(
               503, "the team's owner changes", ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
       job.submissionCallbacks.forEach(callback -> callback.accept(retryLater));
       job.cancellationCallbacks.forEach(callback -> callback.accept(retryLater));
--- a/src/main/java/org/sandford/job/TeamRecovery.java
+++ b/src/main/java/org/sandford/job/TeamRecovery.java
@@ -56,10 +56,10 @@
   }
 
   private UnreportedMachines assignedMachines() {
-    Map<String, MachineAssignment> assignments = cluster.machines().of();
+    Map<String, MachineAssignment> assignments = cluster.machines().assignments();
     UnreportedMachines unreported =
         new UnreportedMachines(
-            name -> Resources.ofMachine(instanceTypes.apply(assignments.get(name).kind())));
+            name -> Resources.ofMachine(instanceTypes.apply(assignments.get(name).instanceType())));
     assignments.forEach(
         (name, assignment) -> {
           if (assignment.hasAddress()) {
@@ -88,7 +88,7 @@
    * known; true also for a machine that left the assignment map.
    */
   private boolean hasReported(Team team, String machine) {
-    if (!cluster.machines().of().containsKey(machine)) {
+    if (!cluster.machines().assignments().containsKey(machine)) {
       return true;
     }
     MachineSnapshots.ReceivedSnapshot received = machineSnapshots.get(machine);
--- a/src/main/java/org/sandford/machine/HeartbeatHandler.java
+++ b/src/main/java/org/sandford/machine/HeartbeatHandler.java
@@ -49,9 +49,9 @@
    */
   ApiResponse handle(JsonNode body) {
     if (!(HeartbeatReader.read(body) instanceof Heartbeat heartbeat)) {
-      return ApiResponse.refuse(400, "not a worker's report");
+      return ApiResponse.refusal(400, "not a worker's report");
     }
-    MachineAssignment assignment = cluster.machines().of().get(heartbeat.machine());
+    MachineAssignment assignment = cluster.machines().assignments().get(heartbeat.machine());
     Machine machine = machines.get(heartbeat.machine());
     if (machine == null || machine.isSuperseded()) {
       return misdirected(heartbeat, assignment);
@@ -60,14 +60,14 @@
       announcer.announce(heartbeat);
     }
     if (machine.isStale(heartbeat)) {
-      return ApiResponse.later(503, "a newer report is known", 1);
+      return ApiResponse.retryLater(503, "a newer report is known", 1);
     }
     processor.process(machine, heartbeat, WorkerChannel.HEARTBEAT);
     if (machine.isSuperseded()) {
       return misdirected(heartbeat, assignment);
     }
     if (!cancellations.mayRenewWorkerLease(machine.tasks().allJobsConfirmedOpen())) {
-      return ApiResponse.later(503, "this controller may not renew leases now", 1);
+      return ApiResponse.retryLater(503, "this controller may not renew leases now", 1);
     }
     return renew(machine);
   }
--- a/src/main/java/org/sandford/machine/Machine.java
+++ b/src/main/java/org/sandford/machine/Machine.java
@@ -329,7 +329,7 @@
         name,
         assignment.generation(),
         state,
-        assignment.kind(),
+        assignment.instanceType(),
         assignment.zone(),
         assignment.spot(),
         tasks.snapshots(now),
--- a/src/main/java/org/sandford/machine/MachineAnnouncer.java
+++ b/src/main/java/org/sandford/machine/MachineAnnouncer.java
@@ -31,7 +31,7 @@
    * per {@link ClusterConstants#LEADER_CHECK_MS}.
    */
   void announce(Heartbeat heartbeat) {
-    MachineAssignment assignment = cluster.machines().of().get(heartbeat.machine());
+    MachineAssignment assignment = cluster.machines().assignments().get(heartbeat.machine());
     if (assignment != null && assignment.hasAddress()) {
       return;
     }
--- a/src/main/java/org/sandford/machine/MachineSnapshots.java
+++ b/src/main/java/org/sandford/machine/MachineSnapshots.java
@@ -80,7 +80,7 @@
 
   /** Removes machines that are not in the new assignment map. */
   public void mapChanged() {
-    received.keySet().removeIf(name -> !cluster.machines().of().containsKey(name));
+    received.keySet().removeIf(name -> !cluster.machines().assignments().containsKey(name));
   }
 
   /** Returns a live view of all snapshots, in the order in which their machines became known. */
@@ -97,7 +97,7 @@
 
   /** Returns whether the snapshot is from the machine's owner in the assignment map known here. */
   public boolean isFromOwner(ReceivedSnapshot known) {
-    MachineAssignment assignment = cluster.machines().of().get(known.snapshot.machine);
+    MachineAssignment assignment = cluster.machines().assignments().get(known.snapshot.machine);
     return assignment != null
         && assignment.generation() == known.snapshot.generation
         && Cluster.isIncarnationOf(assignment.owner(), known.owner);
--- a/src/main/java/org/sandford/machine/ShardAssignment.java
+++ b/src/main/java/org/sandford/machine/ShardAssignment.java
@@ -35,7 +35,7 @@
   /** Applies a new assignment map. */
   void mapChanged() {
     long now = loop.nanos();
-    Map<String, MachineAssignment> map = cluster.machines().of();
+    Map<String, MachineAssignment> map = cluster.machines().assignments();
     for (String name : machines.names()) {
       update(machines.get(name), map.get(name), now);
     }
@@ -45,7 +45,7 @@
             add(name, assignment, now);
           }
         });
-    teams.updateFrom(cluster.teams().of());
+    teams.updateFrom(cluster.teams().assignments());
     publisher.scheduleRemovals();
   }
 
--- a/src/main/java/org/sandford/machine/StartAdmission.java
+++ b/src/main/java/org/sandford/machine/StartAdmission.java
@@ -67,13 +67,13 @@
   }
 
   private Optional<StartRefusal> checkResources(StartTask request, Machine machine) {
-    InstanceType instanceType = instanceTypes.apply(machine.assignment().kind());
+    InstanceType instanceType = instanceTypes.apply(machine.assignment().instanceType());
     if (instanceType == null || !machine.tasks().allJobsConfirmedOpen()) {
       return Optional.of(StartRefusal.RESOURCES_UNKNOWN);
     }
     double freeCpus = instanceType.cpus();
     double freeGpus = instanceType.gpus();
-    double freeRam = instanceType.ram();
+    double freeRam = instanceType.ramGb();
     for (TaskEntry entry : machine.tasks().all()) {
       if (entry.isOnMachine()) {
         freeCpus -= entry.cpus();
--- a/src/main/java/org/sandford/machine/TaskEntry.java
+++ b/src/main/java/org/sandford/machine/TaskEntry.java
@@ -116,7 +116,7 @@
   void applySpec(JobSpec spec) {
     jobConfirmedOpen = true;
     setAttributes(
-        spec.team(), spec.rank().number(), spec.cpus(), spec.gpus(), spec.ram(), spec.image());
+        spec.team(), spec.rank().number(), spec.cpus(), spec.gpus(), spec.ramGb(), spec.image());
   }
 
   /**
--- a/src/main/java/org/sandford/model/ApiResponse.java
+++ b/src/main/java/org/sandford/model/ApiResponse.java
@@ -10,9 +10,9 @@
  * @param status the HTTP status
  * @param body the JSON body
  * @param retryAfterS seconds for {@code Retry-After}; 0 for none
- * @param basis the provenance of the response
+ * @param provenance the provenance of the response
  */
-public record ApiResponse(int status, ObjectNode body, int retryAfterS, Provenance basis) {
+public record ApiResponse(int status, ObjectNode body, int retryAfterS, Provenance provenance) {
   private static final int NO_RETRY_AFTER = 0;
   private static final Provenance NO_PROVENANCE = new Provenance.None();
 
@@ -22,22 +22,22 @@
   }
 
   /** Creates a response about a job, with its provenance. */
-  public static ApiResponse of(int status, ObjectNode body, Provenance basis) {
-    return new ApiResponse(status, body, NO_RETRY_AFTER, basis);
+  public static ApiResponse of(int status, ObjectNode body, Provenance provenance) {
+    return new ApiResponse(status, body, NO_RETRY_AFTER, provenance);
   }
 
   /** Creates a final refusal, with a reason that a user can act on. */
-  public static ApiResponse refuse(int status, String reason) {
-    return later(status, reason, NO_RETRY_AFTER);
+  public static ApiResponse refusal(int status, String reason) {
+    return retryLater(status, reason, NO_RETRY_AFTER);
   }
 
   /** Creates a temporary refusal, with the seconds after which to repeat the request. */
-  public static ApiResponse later(int status, String reason, int retryAfterS) {
+  public static ApiResponse retryLater(int status, String reason, int retryAfterS) {
     return new ApiResponse(status, Json.object().put("error", reason), retryAfterS, NO_PROVENANCE);
   }
 
   /** Returns the job's {@code status} from the body, or an empty string if it has none. */
-  public String state() {
+  public String jobStatus() {
     return body.path("status").asText();
   }
 }
--- a/src/main/java/org/sandford/model/JobSpec.java
+++ b/src/main/java/org/sandford/model/JobSpec.java
@@ -19,7 +19,7 @@
  * @param tasks the number of its tasks, which are numbered from 0
  * @param cpus CPUs
  * @param gpus accelerators
- * @param ram memory, in GB
+ * @param ramGb memory, in GB
  * @param allowedInstanceTypes the allowed instance types; empty for any
  * @param zone the only allowed zone; empty for any
  * @param sameZone whether all tasks must be in the same zone
@@ -41,7 +41,7 @@
     int tasks,
     double cpus,
     double gpus,
-    double ram,
+    double ramGb,
     Set<String> allowedInstanceTypes,
     String zone,
     boolean sameZone,
@@ -132,7 +132,7 @@
             .put(Field.TASKS, tasks)
             .put(Field.CPUS, cpus)
             .put(Field.GPUS, gpus)
-            .put(Field.RAM_GB, ram)
+            .put(Field.RAM_GB, ramGb)
             .put(Field.ZONE, zone)
             .put(Field.SAME_ZONE, toFlag(sameZone))
             .put(Field.SPREAD_ACROSS_ZONES, toFlag(spreadAcrossZones))
--- a/src/main/java/org/sandford/net/NettyHttpServer.java
+++ b/src/main/java/org/sandford/net/NettyHttpServer.java
@@ -134,7 +134,7 @@
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
       FullHttpResponse refusal =
           toHttpResponse(
-              ApiResponse.refuse(
+              ApiResponse.refusal(
                   HttpStatus.BAD_REQUEST,
                   "the body is larger than " + ApiConstants.MAX_BODY_BYTES + " bytes"));
       refusal.headers().set(HttpHeaderNames.CONNECTION, "close");
@@ -199,7 +199,7 @@
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
       boolean keepAlive = HttpUtil.isKeepAlive(request);
       if (request.decoderResult().isFailure()) {
-        write(ctx, ApiResponse.refuse(HttpStatus.BAD_REQUEST, "the request is not HTTP"), false);
+        write(ctx, ApiResponse.refusal(HttpStatus.BAD_REQUEST, "the request is not HTTP"), false);
         return;
       }
       requestStarted(request.uri().startsWith(ApiConstants.HEARTBEAT_PATH));
--- a/src/main/java/org/sandford/scaling/InstanceCatalog.java
+++ b/src/main/java/org/sandford/scaling/InstanceCatalog.java
@@ -37,7 +37,7 @@
           reading = false;
           if (types != null) {
             readAt = loop.millis();
-            types.forEach(instanceType -> instanceTypes.put(instanceType.kind(), instanceType));
+            types.forEach(instanceType -> instanceTypes.put(instanceType.name(), instanceType));
           }
         });
   }
--- a/src/main/java/org/sandford/scaling/InstanceInventory.java
+++ b/src/main/java/org/sandford/scaling/InstanceInventory.java
@@ -93,7 +93,7 @@
   }
 
   private void reconcile(ListedInstance instance) {
-    MachineAssignment assignment = cluster.machines().of().get(instance.name());
+    MachineAssignment assignment = cluster.machines().assignments().get(instance.name());
     if (instance.status().equals("failed")) {
       decommission(List.of(instance.name()));
       return;
@@ -108,7 +108,7 @@
           new Cluster.NewMachine(
               instance.name(),
               running ? instance.address() : "",
-              instance.kind(),
+              instance.instanceType(),
               instance.zone(),
               instance.spot()));
     }
@@ -119,7 +119,7 @@
   }
 
   private boolean hasBootTimedOut(ListedInstance instance) {
-    InstanceType instanceType = catalog.get(instance.kind());
+    InstanceType instanceType = catalog.get(instance.instanceType());
     return instanceType != null
         && instance.ageS()
             > instanceType.bootS() * ScalingConstants.BOOT_TIMEOUT_FACTOR
--- a/src/main/java/org/sandford/scaling/InstancePool.java
+++ b/src/main/java/org/sandford/scaling/InstancePool.java
@@ -11,6 +11,6 @@
   /** Returns an empty machine of the pool as a placement candidate. */
   CandidateMachine candidate(String machine, InstanceType type) {
     return new CandidateMachine(
-        machine, "", instanceType, zone, spot, true, type.cpus(), type.gpus(), type.ram());
+        machine, "", instanceType, zone, spot, true, type.cpus(), type.gpus(), type.ramGb());
   }
 }
--- a/src/main/java/org/sandford/scaling/MachineReplacement.java
+++ b/src/main/java/org/sandford/scaling/MachineReplacement.java
@@ -90,7 +90,7 @@
     for (MachineSnapshots.ReceivedSnapshot received : machineSnapshots.all()) {
       MachineSnapshot snapshot = received.snapshot();
       if (machineSnapshots.isFromOwner(received)
-          && cluster.machines().of().get(snapshot.machine).hasAddress()) {
+          && cluster.machines().assignments().get(snapshot.machine).hasAddress()) {
         boolean lost = snapshot.state == MachineState.LOST;
         countsByOwner.computeIfAbsent(received.owner(), owner -> new MachineCount()).add(lost);
         countsByZone.computeIfAbsent(snapshot.zone, zone -> new MachineCount()).add(lost);
@@ -142,7 +142,7 @@
       }
       int machines =
           (int)
-              cluster.machines().of().values().stream()
+              cluster.machines().assignments().values().stream()
                   .filter(machine -> machine.owner().equals(member))
                   .count();
       if (machines < fewest) {
--- a/src/main/java/org/sandford/scaling/ScaleOut.java
+++ b/src/main/java/org/sandford/scaling/ScaleOut.java
@@ -56,7 +56,7 @@
   /** Returns how many machines of each pool to provision beyond the current and pending ones. */
   Map<InstancePool, Integer> plan(ClusterDemand demand, long now) {
     int machines =
-        cluster.machines().of().size()
+        cluster.machines().assignments().size()
             + cluster.machinesNotInMap().size()
             + requests.pendingMachines();
     ScaleOutPlanner.Market market =
@@ -78,12 +78,13 @@
    */
   private List<CandidateMachine> currentAndPendingMachines() {
     List<CandidateMachine> candidates = new ArrayList<>();
-    for (Map.Entry<String, MachineAssignment> entry : cluster.machines().of().entrySet()) {
+    for (Map.Entry<String, MachineAssignment> entry : cluster.machines().assignments().entrySet()) {
       addIfUsable(candidates, entry.getKey(), entry.getValue());
     }
     for (Cluster.NewMachine added : cluster.machinesNotInMap()) {
-      if (catalog.get(added.kind()) != null) {
-        candidates.add(catalog.candidate(added.name(), added.kind(), added.zone(), added.spot()));
+      if (catalog.get(added.instanceType()) != null) {
+        candidates.add(
+            catalog.candidate(added.name(), added.instanceType(), added.zone(), added.spot()));
       }
     }
     requests.addPendingTo(candidates, catalog);
@@ -92,11 +93,11 @@
 
   private void addIfUsable(
       List<CandidateMachine> candidates, String name, MachineAssignment assignment) {
-    if (catalog.get(assignment.kind()) == null || inventory.isDecommissioning(name)) {
+    if (catalog.get(assignment.instanceType()) == null || inventory.isDecommissioning(name)) {
       return;
     }
     CandidateMachine candidate =
-        catalog.candidate(name, assignment.kind(), assignment.zone(), assignment.spot());
+        catalog.candidate(name, assignment.instanceType(), assignment.zone(), assignment.spot());
     MachineSnapshots.ReceivedSnapshot received = machineSnapshots.get(name);
     if (assignment.hasAddress() && received != null) {
       MachineSnapshot snapshot = received.snapshot();
--- a/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
+++ b/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
@@ -221,7 +221,7 @@
     for (InstanceType instanceType : market.instanceTypes().values()) {
       for (String zone : instanceType.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          InstancePool pool = new InstancePool(instanceType.kind(), zone, spot);
+          InstancePool pool = new InstancePool(instanceType.name(), zone, spot);
           CandidateMachine candidate = pool.candidate("", instanceType);
           int fittingTasks = Math.min(remainingTasks, request.countFitting(candidate));
           boolean zoneFull =
--- a/src/main/java/org/sandford/store/RecordWriter.java
+++ b/src/main/java/org/sandford/store/RecordWriter.java
@@ -252,7 +252,8 @@
       return;
     }
     for (Write write : batch) {
-      if (batch.size() == 1 || result.failed().stream().anyMatch(write.conditions::containsKey)) {
+      if (batch.size() == 1
+          || result.failedKeys().stream().anyMatch(write.conditions::containsKey)) {
         write.onResult.accept(result);
       } else {
         queues.get(write.kind).addFirst(write);
--- a/src/main/java/org/sandford/store/StoreClient.java
+++ b/src/main/java/org/sandford/store/StoreClient.java
@@ -53,9 +53,9 @@
    * The result of a transaction.
    *
    * @param revision the store's revision after it; 0 unless it was applied or conflicted
-   * @param failed the keys whose conditions failed; empty unless the outcome is a conflict
+   * @param failedKeys the keys whose conditions failed; empty unless the outcome is a conflict
    */
-  public record TransactionResult(Outcome outcome, long revision, List<String> failed) {}
+  public record TransactionResult(Outcome outcome, long revision, List<String> failedKeys) {}
 
   /** A key with its value and the revision of its last change. */
   public record Entry(String key, JsonNode value, long revision) implements KeyChange {}
@@ -234,9 +234,9 @@
     return switch (reply.status()) {
       case 200 -> new TransactionResult(Outcome.APPLIED, revision, List.of());
       case 409 -> {
-        List<String> failed = new ArrayList<>();
-        body.path("failed").forEach(key -> failed.add(key.asText()));
-        yield new TransactionResult(Outcome.CONFLICT, revision, failed);
+        List<String> failedKeys = new ArrayList<>();
+        body.path("failed").forEach(key -> failedKeys.add(key.asText()));
+        yield new TransactionResult(Outcome.CONFLICT, revision, failedKeys);
       }
       case 400, 429, 503, Reply.NOT_SENT -> new TransactionResult(Outcome.REFUSED, 0, List.of());
       default -> new TransactionResult(Outcome.UNKNOWN, 0, List.of());
--- a/src/test/java/org/sandford/cluster/AssignmentMapTest.java
+++ b/src/test/java/org/sandford/cluster/AssignmentMapTest.java
@@ -18,7 +18,7 @@
         "worker-" + i % 5 + "#12",
         1_000_000L + i,
         "10.1." + i / 250 + "." + i % 250 + ":9000",
-        "kind-" + i % 3,
+        "type-" + i % 3,
         "zone-" + i % 2,
         i % 2 == 0);
   }
@@ -67,6 +67,6 @@
             Map.of(0, new Partition(5, machines(0, 1)), 1, new Partition(10, machines(3, 4))));
     assertEquals(9, after.revision());
     assertEquals(40, after.lastGeneration());
-    assertEquals(machines(0, 4), after.of());
+    assertEquals(machines(0, 4), after.assignments());
   }
 }
--- a/src/test/java/org/sandford/cluster/MachineAssignmentPlannerTest.java
+++ b/src/test/java/org/sandford/cluster/MachineAssignmentPlannerTest.java
@@ -60,13 +60,14 @@
     Machines machines = onePartition(230, "c0#1");
     Set<String> liveMembers = Set.of("c1#1", "c2#1");
     int transactions = 0;
-    while (machines.of().values().stream().anyMatch(m -> !liveMembers.contains(m.owner()))) {
+    while (machines.assignments().values().stream()
+        .anyMatch(m -> !liveMembers.contains(m.owner()))) {
       machines =
           applyPlan(
               machines,
               new MachineAssignmentPlanner(facts(), machines, liveMembers).plan(NO_CHANGES),
               ++transactions + 1);
-      assertEquals(230, machines.of().size());
+      assertEquals(230, machines.assignments().size());
       assertTrue(transactions < 20, "the split does not end");
     }
     assertTrue(transactions > 1, "the split must take several transactions");
@@ -78,18 +79,18 @@
     Set<String> liveMembers = Set.of("c0#1");
     Set<String> removals = Set.of("n-000003", "n-000100", "n-000229");
     int transactions = 0;
-    while (removals.stream().anyMatch(machines.of()::containsKey)) {
+    while (removals.stream().anyMatch(machines.assignments()::containsKey)) {
       MachineAssignmentPlanner planner =
           new MachineAssignmentPlanner(facts(), machines, liveMembers);
       MachineAssignmentPlanner.Plan plan =
           planner.plan(new MachineAssignmentPlanner.Changes(List.of(), removals, Map.of()));
       machines = applyPlan(machines, plan, ++transactions + 1);
       assertTrue(
-          machines.of().size() >= 227,
-          machines.of().size() + " machines remain, at least 227 must");
+          machines.assignments().size() >= 227,
+          machines.assignments().size() + " machines remain, at least 227 must");
       assertTrue(transactions < 20, "the removals do not end");
     }
-    assertEquals(227, machines.of().size());
+    assertEquals(227, machines.assignments().size());
   }
 
   @Test
--- a/src/test/java/org/sandford/cluster/TeamAssignmentPlannerTest.java
+++ b/src/test/java/org/sandford/cluster/TeamAssignmentPlannerTest.java
@@ -29,15 +29,15 @@
 
   @Test
   void teamsOfMembersKeepTheirOwners() {
-    assertSame(TEAMS, planner(List.of("c0#1", "c1#1")).plan(TEAMS.of().keySet()));
+    assertSame(TEAMS, planner(List.of("c0#1", "c1#1")).plan(TEAMS.assignments().keySet()));
   }
 
   @Test
   void teamsOfDepartedMembersGoToTheLeastLoadedUnderNewGenerations() {
     Teams next = planner(List.of("c1#1", "c2#1")).plan(Set.of());
-    assertEquals(new TeamAssignment("c2#1", 4), next.of().get("blue"));
-    assertEquals(new TeamAssignment("c1#1", 5), next.of().get("green"));
-    assertEquals(new TeamAssignment("c1#1", 3), next.of().get("red"));
+    assertEquals(new TeamAssignment("c2#1", 4), next.assignments().get("blue"));
+    assertEquals(new TeamAssignment("c1#1", 5), next.assignments().get("green"));
+    assertEquals(new TeamAssignment("c1#1", 3), next.assignments().get("red"));
     assertEquals(5, next.lastGeneration());
     assertEquals(9, next.revision());
   }
@@ -45,15 +45,15 @@
   @Test
   void configuredTeamWithoutOwnerGetsOne() {
     Teams next = planner(List.of("c0#1", "c1#1")).plan(Set.of("yellow"));
-    assertEquals(new TeamAssignment("c1#1", 4), next.of().get("yellow"));
+    assertEquals(new TeamAssignment("c1#1", 4), next.assignments().get("yellow"));
   }
 
   @Test
   void teamThatWasHandedOverLeavesItsOwnerUnlessThatIsAlone() {
     Teams moved = planner(List.of("c0#1", "c1#1"), "red").plan(Set.of());
-    assertEquals(new TeamAssignment("c0#1", 4), moved.of().get("red"));
+    assertEquals(new TeamAssignment("c0#1", 4), moved.assignments().get("red"));
     Teams kept = planner(List.of("c1#1"), "red").plan(Set.of());
-    assertEquals("c1#1", kept.of().get("red").owner());
+    assertEquals("c1#1", kept.assignments().get("red").owner());
   }
 
   @Test
