--- a/src/main/java/org/sandford/api/CancellationHandler.java
+++ b/src/main/java/org/sandford/api/CancellationHandler.java
@@ -28,7 +28,7 @@
 
   /** Cancels a job; {@code id} must be well formed. */
   void handle(String id, Consumer<ApiResponse> answer) {
-    if (jobs.abort(id, answer)) {
+    if (jobs.cancel(id, answer)) {
       return;
     }
     String team = jobReader.teamOf(id);
@@ -41,7 +41,7 @@
 
   private void answerFromRead(String id, JobReadResult result, Consumer<ApiResponse> answer) {
     if (result instanceof JobReadResult.Terminal) {
-      jobs.answers().ended(id).ifPresent(answer);
+      jobs.answers().terminalAnswer(id).ifPresent(answer);
     } else if (result instanceof JobReadResult.Open open) {
       cancelAtOwner(id, open.spec().team(), answer);
     } else if (result instanceof JobReadResult.Absent) {
--- a/src/main/java/org/sandford/api/ForwardedRequestHandler.java
+++ b/src/main/java/org/sandford/api/ForwardedRequestHandler.java
@@ -64,7 +64,7 @@
   }
 
   private void cancel(String id, Consumer<ApiResponse> answer) {
-    if (!jobs.abort(id, answer)) {
+    if (!jobs.cancel(id, answer)) {
       jobs.answers()
           .fromStore(id, storeAnswer -> answer.accept(cancellationAnswerFor(storeAnswer)));
     }
--- a/src/main/java/org/sandford/api/ForwardedSpec.java
+++ b/src/main/java/org/sandford/api/ForwardedSpec.java
@@ -14,13 +14,13 @@
 
   static ByteBuffer encode(JobSpec spec) {
     ObjectNode body = Json.object();
-    body.set(SPEC_FIELD, spec.json());
+    body.set(SPEC_FIELD, spec.toJson());
     return ByteBuffer.wrap(Json.bytes(body));
   }
 
   static JobSpec decode(ForwardedRequest request) {
     byte[] bytes = new byte[request.body.remaining()];
     request.body.duplicate().get(bytes);
-    return JobSpec.read(request.job, Json.read(bytes).path(SPEC_FIELD));
+    return JobSpec.fromJson(request.job, Json.read(bytes).path(SPEC_FIELD));
   }
 }
--- a/src/main/java/org/sandford/api/SubmissionHandler.java
+++ b/src/main/java/org/sandford/api/SubmissionHandler.java
@@ -58,7 +58,7 @@
       answerRejection(JobParser.validIdOrEmpty(body), rejection, answer);
       return;
     }
-    if (spec.gang() && !recordVersions.allKnowGangs()) {
+    if (spec.isGang() && !recordVersions.allSupportGangs()) {
       answer.accept(
           ApiResponse.retryLater(
               HttpStatus.SERVICE_UNAVAILABLE,
@@ -66,7 +66,7 @@
               ApiConstants.RETRY_AFTER_OVERLOAD_S));
       return;
     }
-    jobReader.remember(spec);
+    jobReader.cacheFacts(spec);
     submitToOwner(spec, answer);
   }
 
--- a/src/main/java/org/sandford/api/UserAnswers.java
+++ b/src/main/java/org/sandford/api/UserAnswers.java
@@ -67,10 +67,11 @@
   }
 
   private ApiResponse finish(UserRequestKind kind, String id, ApiResponse answer) {
-    ApiResponse current = reportsOpenJob(answer) ? jobAnswers.ended(id).orElse(answer) : answer;
+    ApiResponse current =
+        reportsOpenJob(answer) ? jobAnswers.terminalAnswer(id).orElse(answer) : answer;
     if (current.status() == HttpStatus.OK
         && current.jobStatus().equals(TerminalState.CANCELLED.wireName())) {
-      cancellations.confirmed(id);
+      cancellations.recordConfirmation(id);
     }
     audit.answered(
         kind.wireName(), id, current.status(), current.jobStatus(), current.provenance());
--- a/src/main/java/org/sandford/cancel/Cancellations.java
+++ b/src/main/java/org/sandford/cancel/Cancellations.java
@@ -199,7 +199,7 @@
    * Logs a cancellation that is about to be confirmed to a user and notifies the other controllers
    * at once.
    */
-  public void confirmed(String job) {
+  public void recordConfirmation(String job) {
     if (!confirmedJobs.add(job)) {
       return;
     }
--- a/src/main/java/org/sandford/cluster/AssignmentMapExchange.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapExchange.java
@@ -45,7 +45,7 @@
    * heartbeat ago are compared: a peer gets newer ones by its own watch, unless it is cut off from
    * the store.
    */
-  Optional<AssignmentUpdate> missingFrom(AssignmentRevisions peerRevisions) {
+  Optional<AssignmentUpdate> updateFor(AssignmentRevisions peerRevisions) {
     boolean lacksTeams = peerRevisions.teamsRevision < previousTeamsRevision;
     boolean lacksMachines = peerRevisions.machinesRevision < previousMachinesRevision;
     if (!lacksTeams && !lacksMachines) {
--- a/src/main/java/org/sandford/cluster/Cluster.java
+++ b/src/main/java/org/sandford/cluster/Cluster.java
@@ -36,7 +36,7 @@
   /** Notified on the event loop. */
   public interface Listener {
     /** The assignment map, the session lease, the members or the leader changed. */
-    void mapChanged();
+    void clusterStateChanged();
 
     /** A job's terminal state was stored by any controller. */
     void jobEnded(String job, JsonNode record);
@@ -45,7 +45,7 @@
     void jobAdded(String job, String team);
 
     /** Terminal states may have been missed: state derived from them must be read again. */
-    void jobEndsMissed();
+    void terminalStatesMissed();
   }
 
   /** A job's team, and the revision of the key that announces the job. */
@@ -199,8 +199,8 @@
   /**
    * Returns the part of the assignment map that a peer with these revisions lacks, or null if none.
    */
-  public AssignmentUpdate missingFrom(AssignmentRevisions peerRevisions) {
-    return exchange.missingFrom(peerRevisions).orElse(null);
+  public AssignmentUpdate updateFor(AssignmentRevisions peerRevisions) {
+    return exchange.updateFor(peerRevisions).orElse(null);
   }
 
   /**
@@ -209,7 +209,7 @@
    */
   public void applyUpdate(AssignmentUpdate update) {
     if (exchange.apply(update)) {
-      listener.mapChanged();
+      listener.clusterStateChanged();
     }
   }
 
@@ -268,7 +268,7 @@
   }
 
   private void onElected() {
-    listener.mapChanged();
+    listener.clusterStateChanged();
     reconciler.reconcile();
   }
 
@@ -301,13 +301,13 @@
     @Override
     public void joined(String incarnationId) {
       members.joined(membership.label(), incarnationId);
-      listener.mapChanged();
+      listener.clusterStateChanged();
       election.campaign();
     }
 
     @Override
     public void leaseChanged() {
-      listener.mapChanged();
+      listener.clusterStateChanged();
     }
   }
 
@@ -322,14 +322,14 @@
 
     @Override
     public void caughtUp() {
-      listener.mapChanged();
+      listener.clusterStateChanged();
       election.campaign();
     }
 
     @Override
     public void changed(List<KeyChange> changes) {
       apply(changes);
-      listener.mapChanged();
+      listener.clusterStateChanged();
       election.campaign();
       reconciler.reconcile();
     }
@@ -342,8 +342,8 @@
     }
 
     @Override
-    public void jobEndsMissed() {
-      listener.jobEndsMissed();
+    public void terminalStatesMissed() {
+      listener.terminalStatesMissed();
     }
   }
 
@@ -351,7 +351,7 @@
     @Override
     public void written() {
       pending.dropCompleted();
-      listener.mapChanged();
+      listener.clusterStateChanged();
       reconciler.reconcile();
     }
 
@@ -359,7 +359,7 @@
     public void readBack(List<Entry> entries) {
       apply(entries);
       pending.dropCompleted();
-      listener.mapChanged();
+      listener.clusterStateChanged();
     }
   }
 }
--- a/src/main/java/org/sandford/cluster/RecordVersions.java
+++ b/src/main/java/org/sandford/cluster/RecordVersions.java
@@ -38,7 +38,7 @@
   private final EventLoop loop;
   private final StoreClient store;
   private final Set<String> controllerLabels = new HashSet<>();
-  private boolean allKnowGangs;
+  private boolean allSupportGangs;
 
   /** Creates an instance that assumes the oldest version; {@link #start} begins to read. */
   public RecordVersions(EventLoop loop, Settings settings, StoreClient store) {
@@ -64,8 +64,8 @@
   }
 
   /** Returns whether every controller can read records of gangs. Once true, it stays true. */
-  public boolean allKnowGangs() {
-    return allKnowGangs;
+  public boolean allSupportGangs() {
+    return allSupportGangs;
   }
 
   private void poll() {
@@ -75,7 +75,7 @@
           if (result instanceof ListResult.Listed listed) {
             checkVersions(listed.entries());
           }
-          if (!allKnowGangs) {
+          if (!allSupportGangs) {
             loop.after(ClusterConstants.RECORD_VERSIONS_POLL_MS, this::poll);
           }
         });
@@ -87,11 +87,11 @@
       String label = entry.key().substring(INCARNATION_PREFIX.length());
       versions.put(label, entry.value().path(VERSION_FIELD).asInt(1));
     }
-    allKnowGangs =
+    allSupportGangs =
         controllerLabels.stream()
             .allMatch(
                 label -> versions.getOrDefault(label, 0) >= ClusterConstants.RECORD_VERSION_GANGS);
-    if (allKnowGangs) {
+    if (allSupportGangs) {
       log.info(
           "gangs accepted, known to all controllers record_version={}",
           ClusterConstants.RECORD_VERSION_GANGS);
--- a/src/main/java/org/sandford/cluster/TerminalStateWatch.java
+++ b/src/main/java/org/sandford/cluster/TerminalStateWatch.java
@@ -21,7 +21,7 @@
     void jobEnded(String jobId, JsonNode record);
 
     /** Terminal states may have been stored that the watch missed. */
-    void jobEndsMissed();
+    void terminalStatesMissed();
   }
 
   /** No key has this prefix, so listing it is the cheapest way to get the store's revision. */
@@ -60,7 +60,7 @@
   @Override
   public void caughtUp() {
     completeSince = watch.freshAt();
-    listener.jobEndsMissed();
+    listener.terminalStatesMissed();
   }
 
   @Override
--- a/src/main/java/org/sandford/controller/Controller.java
+++ b/src/main/java/org/sandford/controller/Controller.java
@@ -230,10 +230,10 @@
   }
 
   @Override
-  public void mapChanged() {
-    machineSnapshots.mapChanged();
-    machineShard.mapChanged();
-    jobs.mapChanged();
+  public void clusterStateChanged() {
+    machineSnapshots.removeUnassigned();
+    machineShard.applyAssignmentMap();
+    jobs.applyAssignmentMap();
   }
 
   @Override
@@ -260,8 +260,8 @@
   }
 
   @Override
-  public void jobEndsMissed() {
-    machineShard.jobEndsMissed();
+  public void terminalStatesMissed() {
+    machineShard.recheckJobs();
   }
 
   @Override
@@ -294,7 +294,7 @@
     router.onRequest(DrainMachine.class, machineShard::drain);
     router.onRequest(HandOverTeam.class, this::handOverTeam);
     router.onRequest(
-        Demand.class, (sender, demand, reply) -> autoscaler.demand(sender, demand.classes));
+        Demand.class, (sender, demand, reply) -> autoscaler.reportDemand(sender, demand.classes));
     router.onRequest(MachineDiscovered.class, this::addDiscoveredMachine);
     router.onRequest(JobCancelled.class, cancellations::handleNotification);
     router.onRequest(CancellationsRequest.class, this::replyWithCancellations);
@@ -342,21 +342,21 @@
    */
   private void replyWithMissingAssignments(
       String sender, AssignmentRevisions peerRevisions, Consumer<Object> reply) {
-    AssignmentUpdate missing = cluster.missingFrom(peerRevisions);
-    if (missing != null) {
-      reply.accept(missing);
+    AssignmentUpdate update = cluster.updateFor(peerRevisions);
+    if (update != null) {
+      reply.accept(update);
     }
   }
 
   /** Stores the snapshots before notifying the scheduler, which reads the stored ones. */
   private void applySnapshots(String sender, SnapshotUpdate update) {
     machineSnapshots.apply(sender, update);
-    jobs.snapshots(sender, update);
+    jobs.snapshotsReceived(sender, update);
   }
 
   @Override
   public void linkUp(String peer) {
-    jobs.linkUp(peer);
+    jobs.linkEstablished(peer);
     links.request(peer, assignmentRevisions);
   }
 
--- a/src/main/java/org/sandford/job/DemandReport.java
+++ b/src/main/java/org/sandford/job/DemandReport.java
@@ -30,7 +30,7 @@
       int allowed =
           Math.min(countFitting(cpus, job.spec.cpus()), countFitting(gpus, job.spec.gpus()));
       int tasks = Math.max(0, Math.min(allowed, job.tasks.waitingCount()));
-      return job.spec.gang() && tasks < job.tasks.waitingCount() ? 0 : tasks;
+      return job.spec.isGang() && tasks < job.tasks.waitingCount() ? 0 : tasks;
     }
 
     private static int countFitting(double remaining, double perTask) {
@@ -81,7 +81,7 @@
     remainingQuota.deduct(job, tasks);
     double waitedS = (nowNanos - job.tasks.waitingSinceNanos()) / TimeConstants.NANOS_PER_S;
     JobSpec spec = job.spec;
-    if (spec.spreadAcrossZones() || spec.sameZone() || spec.gang()) {
+    if (spec.spreadAcrossZones() || spec.sameZone() || spec.isGang()) {
       classes.add(classOf(job, tasks, waitedS));
       return;
     }
@@ -108,7 +108,7 @@
         spec.spotAllowed(),
         spec.spreadAcrossZones(),
         spec.sameZone(),
-        spec.service(),
+        spec.isService(),
         new ArrayList<>(spec.allowedInstanceTypes()),
         spec.zone(),
         waitedS,
--- a/src/main/java/org/sandford/job/Gangs.java
+++ b/src/main/java/org/sandford/job/Gangs.java
@@ -51,7 +51,7 @@
 
   /** Checks the job if it is a gang. Called for every change of a task of any job. */
   void check(Job job) {
-    if (!job.spec.gang()) {
+    if (!job.spec.isGang()) {
       return;
     }
     Team team = owned.team(job.spec.team());
--- a/src/main/java/org/sandford/job/Job.java
+++ b/src/main/java/org/sandford/job/Job.java
@@ -189,7 +189,7 @@
 
   /** Returns whether the job has waiting tasks that may be planned. */
   boolean hasSchedulableTasks() {
-    if (spec.gang()) {
+    if (spec.isGang()) {
       // The next attempt begins only after all tasks of the previous one are off their machines.
       return phase == Phase.OPEN
           && gang.phase() == Gang.Phase.WAITING
@@ -234,7 +234,7 @@
   }
 
   boolean allDone() {
-    return !spec.service() && tasks.allDone();
+    return !spec.isService() && tasks.allDone();
   }
 
   /**
@@ -281,7 +281,7 @@
 
   /** Marks the task as done; for a gang all tasks, since they complete together. */
   void completeTask(int task) {
-    if (!spec.gang()) {
+    if (!spec.isGang()) {
       markDone(task);
       return;
     }
@@ -336,8 +336,8 @@
         spec.spotAllowed(),
         spec.sameZone(),
         spec.spreadAcrossZones(),
-        spec.service(),
-        spec.gang(),
+        spec.isService(),
+        spec.isGang(),
         spec.tasks(),
         zones,
         machines,
--- a/src/main/java/org/sandford/job/JobAcceptance.java
+++ b/src/main/java/org/sandford/job/JobAcceptance.java
@@ -178,7 +178,9 @@
       }
     } else if (result instanceof JobReadResult.Terminal) {
       owned.remove(job);
-      answers.ended(job.spec.id()).ifPresent(ended -> answerSubmissions(job, ended));
+      answers
+          .terminalAnswer(job.spec.id())
+          .ifPresent(terminalAnswer -> answerSubmissions(job, terminalAnswer));
     } else if (result instanceof JobReadResult.Absent) {
       createRecord(job);
     } else {
--- a/src/main/java/org/sandford/job/JobAnswers.java
+++ b/src/main/java/org/sandford/job/JobAnswers.java
@@ -35,7 +35,7 @@
   }
 
   /** Returns the answer about a job whose terminal state is known here; otherwise empty. */
-  public Optional<ApiResponse> ended(String id) {
+  public Optional<ApiResponse> terminalAnswer(String id) {
     Optional<TerminalState> state = terminalStates.get(id);
     if (state.isPresent()) {
       return Optional.of(
@@ -50,8 +50,8 @@
 
   /** Returns the answer from memory; empty if only the store can tell. */
   public Optional<ApiResponse> fromMemory(String id) {
-    Optional<ApiResponse> ended = ended(id);
-    return ended.isPresent() ? ended : fromOwnerMemory(id);
+    Optional<ApiResponse> terminalAnswer = terminalAnswer(id);
+    return terminalAnswer.isPresent() ? terminalAnswer : fromOwnerMemory(id);
   }
 
   private Optional<ApiResponse> fromOwnerMemory(String id) {
--- a/src/main/java/org/sandford/job/JobCancellation.java
+++ b/src/main/java/org/sandford/job/JobCancellation.java
@@ -23,10 +23,10 @@
    * Cancels the job and answers once its terminal state is stored. Returns false, without an
    * answer, if the job is not known here.
    */
-  boolean abort(String id, Consumer<ApiResponse> answer) {
-    Optional<ApiResponse> ended = answers.ended(id);
-    if (ended.isPresent()) {
-      answer.accept(ended.get());
+  boolean cancel(String id, Consumer<ApiResponse> answer) {
+    Optional<ApiResponse> terminalAnswer = answers.terminalAnswer(id);
+    if (terminalAnswer.isPresent()) {
+      answer.accept(terminalAnswer.get());
       return true;
     }
     Job job = owned.job(id);
--- a/src/main/java/org/sandford/job/JobReader.java
+++ b/src/main/java/org/sandford/job/JobReader.java
@@ -55,7 +55,7 @@
   }
 
   /** Caches the facts of the job that never change. */
-  public void remember(JobSpec spec) {
+  public void cacheFacts(JobSpec spec) {
     factsByJob.put(spec.id(), new ImmutableFacts(spec.team(), Resources.ofTask(spec)));
   }
 
@@ -91,8 +91,8 @@
   }
 
   private JobReadResult openJob(String job, StoreClient.Entry entry) {
-    JobSpec spec = OpenJobReader.spec(job, entry.value());
-    remember(spec);
+    JobSpec spec = OpenJobReader.readSpec(job, entry.value());
+    cacheFacts(spec);
     return JobRecordCodec.openJob(spec, entry);
   }
 
--- a/src/main/java/org/sandford/job/JobRecordCodec.java
+++ b/src/main/java/org/sandford/job/JobRecordCodec.java
@@ -35,7 +35,7 @@
   static ObjectNode openRecord(
       JobSpec spec, long acceptedAt, RangeSet<Integer> finishedTasks, int maxBytes) {
     ObjectNode record = Json.object().put(OPEN_ACCEPTED_AT, acceptedAt);
-    record.set(OPEN_SPEC, spec.json());
+    record.set(OPEN_SPEC, spec.toJson());
     int usedBytes = Json.bytes(record).length + FINISHED_TASKS_OVERHEAD_BYTES;
     record.set(OPEN_FINISHED_TASKS, TaskRanges.write(finishedTasks, maxBytes - usedBytes));
     return record;
--- a/src/main/java/org/sandford/job/JobScheduler.java
+++ b/src/main/java/org/sandford/job/JobScheduler.java
@@ -182,7 +182,7 @@
   }
 
   /** Handles a change of the assignment map of teams or machines. */
-  public void mapChanged() {
+  public void applyAssignmentMap() {
     List<Team> acquired = ownership.applyAssignments();
     if (!acquired.isEmpty()) {
       // Tasks of these teams were ignored in earlier snapshots.
@@ -217,9 +217,9 @@
   }
 
   /** Handles a new link to another controller, the first or a later one. */
-  public void linkUp(String peer) {
-    commands.linkUp(peer);
-    ownership.linkUp(peer);
+  public void linkEstablished(String peer) {
+    commands.linkEstablished(peer);
+    ownership.linkEstablished(peer);
   }
 
   /** Handles another controller's reply to the claim of a team. */
@@ -230,7 +230,7 @@
   }
 
   /** Handles machine snapshots, which {@link MachineSnapshots} has stored already. */
-  public void snapshots(String publisher, SnapshotUpdate update) {
+  public void snapshotsReceived(String publisher, SnapshotUpdate update) {
     for (MachineSnapshot snapshot : update.machines) {
       candidates.invalidate(snapshot.machine);
       if (isStored(snapshot)) {
@@ -284,8 +284,8 @@
   }
 
   /** Cancels a job of a team of this controller. Returns false when the job is not known here. */
-  public boolean abort(String id, Consumer<ApiResponse> answer) {
-    return cancellation.abort(id, answer);
+  public boolean cancel(String id, Consumer<ApiResponse> answer) {
+    return cancellation.cancel(id, answer);
   }
 
   /** Handles a job's terminal state, which this or another controller stored. */
--- a/src/main/java/org/sandford/job/JobTermination.java
+++ b/src/main/java/org/sandford/job/JobTermination.java
@@ -49,7 +49,9 @@
       cancelled.add(job.spec.id(), job.spec.team(), job.spec.tasks());
     }
     terminalStates.put(job.spec.id(), state);
-    answers.ended(job.spec.id()).ifPresent(answer -> JobRecords.answerCancellations(job, answer));
+    answers
+        .terminalAnswer(job.spec.id())
+        .ifPresent(answer -> JobRecords.answerCancellations(job, answer));
     stopAllTasks(job);
     job.exitsToAcknowledge.forEach(
         exit -> commands.acknowledgeExit(job, exit.machine(), exit.task(), exit.attempt()));
--- a/src/main/java/org/sandford/job/OpenJobAudit.java
+++ b/src/main/java/org/sandford/job/OpenJobAudit.java
@@ -43,12 +43,13 @@
     if (!cluster.sessionLeaseValid() || owned.ownsNothing()) {
       return;
     }
-    store.openJobs(openJobs -> openJobs.forEach((id, entry) -> adoptIfMissing(id, entry.value())));
+    store.listOpenJobs(
+        openJobs -> openJobs.forEach((id, entry) -> adoptIfMissing(id, entry.value())));
   }
 
   private void adoptIfMissing(String id, JsonNode record) {
-    JobSpec spec = OpenJobReader.spec(id, record);
-    jobReader.remember(spec);
+    JobSpec spec = OpenJobReader.readSpec(id, record);
+    jobReader.cacheFacts(spec);
     String team = spec.team();
     if (owned.owns(team) && !owned.contains(id) && !terminalStates.contains(id)) {
       log.info("open job unknown to its owner job={} team={}", id, team);
--- a/src/main/java/org/sandford/job/OpenJobLoader.java
+++ b/src/main/java/org/sandford/job/OpenJobLoader.java
@@ -37,7 +37,7 @@
    * @param whenLoaded gets the ids of the adopted jobs
    */
   void load(List<Team> acquired, Consumer<Set<String>> whenLoaded) {
-    store.openJobs(
+    store.listOpenJobs(
         openJobs -> {
           Set<String> adoptedIds = new HashSet<>();
           for (Team team : acquired) {
@@ -54,7 +54,7 @@
   private void adoptJobs(Team team, Map<String, Entry> openJobs, Set<String> adoptedIds) {
     openJobs.forEach(
         (id, entry) -> {
-          JobSpec spec = OpenJobReader.spec(id, entry.value());
+          JobSpec spec = OpenJobReader.readSpec(id, entry.value());
           // The listing may be older than a terminal state that became known meanwhile.
           if (spec.team().equals(team.name)
               && !owned.contains(id)
--- a/src/main/java/org/sandford/job/OwnedJobs.java
+++ b/src/main/java/org/sandford/job/OwnedJobs.java
@@ -97,6 +97,6 @@
   void add(Team team, Job job) {
     team.jobs.put(job.spec.id(), job);
     jobs.put(job.spec.id(), job);
-    jobReader.remember(job.spec);
+    jobReader.cacheFacts(job.spec);
   }
 }
--- a/src/main/java/org/sandford/job/PlanningRound.java
+++ b/src/main/java/org/sandford/job/PlanningRound.java
@@ -53,7 +53,7 @@
       Team team = owned.team(job.spec.team());
       int tasksWithinLimit = team.tasksWithinLimit(job.spec.cpus(), job.spec.gpus());
       int taskCount = Math.min(job.tasks.waitingCount(), tasksWithinLimit);
-      if (taskCount == 0 || (job.spec.gang() && taskCount < job.tasks.waitingCount())) {
+      if (taskCount == 0 || (job.spec.isGang() && taskCount < job.tasks.waitingCount())) {
         job.setWaitReason(
             new WaitReason.TeamLimitReached(
                 team.name, job.spec.cpus(), team.limits.cpusMax(), job.tasks.waitingCount()));
@@ -65,7 +65,7 @@
 
   private void planJob(Team team, Job job, int taskCount, List<CandidateMachine> usableMachines) {
     double waitedS = (loop.nanos() - job.tasks.waitingSinceNanos()) / TimeConstants.NANOS_PER_S;
-    boolean gang = job.spec.gang();
+    boolean gang = job.spec.isGang();
     boolean allOrNone = gang || requiresAllTasks(job, taskCount, waitedS);
     Planner.Plan plan = findPlan(job, taskCount, allOrNone, usableMachines);
     if (plan.tasks() == 0) {
@@ -99,7 +99,7 @@
 
   private static WaitReason insufficientResources(Job job, int tasks) {
     JobSpec spec = job.spec;
-    return spec.gang()
+    return spec.isGang()
         ? new WaitReason.InsufficientResourcesForGang(
             tasks, spec.cpus(), spec.ramGb(), spec.sameZone())
         : new WaitReason.InsufficientResources(tasks, spec.cpus(), spec.ramGb());
--- a/src/main/java/org/sandford/job/ServiceConsolidation.java
+++ b/src/main/java/org/sandford/job/ServiceConsolidation.java
@@ -96,7 +96,7 @@
 
   /** Returns whether the job is a service of which every replica runs. */
   private static boolean isFullyRunningService(Job job) {
-    return job.spec.service()
+    return job.spec.isService()
         && job.phase() == Job.Phase.OPEN
         && job.tasks.waitingCount() == 0
         && job.runningCount() == job.spec.tasks();
--- a/src/main/java/org/sandford/job/TaskCommands.java
+++ b/src/main/java/org/sandford/job/TaskCommands.java
@@ -31,7 +31,7 @@
     this.owned = owned;
   }
 
-  void linkUp(String peer) {
+  void linkEstablished(String peer) {
     linkEpochs.merge(peer, 1, Integer::sum);
   }
 
--- a/src/main/java/org/sandford/job/TaskExits.java
+++ b/src/main/java/org/sandford/job/TaskExits.java
@@ -71,7 +71,7 @@
   }
 
   private static boolean isCompletion(Job job, TaskSnapshot task) {
-    return task.cause == ExitCause.DONE && !job.spec.service() && job.phase() == Job.Phase.OPEN;
+    return task.cause == ExitCause.DONE && !job.spec.isService() && job.phase() == Job.Phase.OPEN;
   }
 
   private void acknowledgeOnceStored(Job job, MachineSnapshot snapshot, TaskSnapshot task) {
--- a/src/main/java/org/sandford/job/TaskReconciler.java
+++ b/src/main/java/org/sandford/job/TaskReconciler.java
@@ -172,7 +172,7 @@
         && job.spec.checkpointIntervalS() > 0
         && placement.phase() == TaskPhase.RUNNING) {
       int graceS = (int) Math.ceil(job.spec.checkpointCostS());
-      if (job.spec.gang()) {
+      if (job.spec.isGang()) {
         gangs.stopGracefully(job, graceS);
       } else {
         commands.stop(placement, graceS);
--- a/src/main/java/org/sandford/job/TaskStarter.java
+++ b/src/main/java/org/sandford/job/TaskStarter.java
@@ -33,7 +33,7 @@
   void start(Team team, Job job, Planner.Plan plan) {
     List<Integer> tasks = job.tasks.firstWaiting(plan.tasks());
     List<TaskPlacement> unsent = new ArrayList<>();
-    boolean gang = job.spec.gang();
+    boolean gang = job.spec.isGang();
     long gangAttempt = gang ? team.nextAttempt() : 0;
     int nextIndex = 0;
     job.setWaitReason(WaitReason.NONE);
--- a/src/main/java/org/sandford/job/TeamOwnership.java
+++ b/src/main/java/org/sandford/job/TeamOwnership.java
@@ -85,7 +85,7 @@
   }
 
   /** Sends the claims of all owned teams over a new link to a controller. */
-  void linkUp(String peer) {
+  void linkEstablished(String peer) {
     owned.teams().values().forEach(team -> requestClaim(peer, team));
   }
 
--- a/src/main/java/org/sandford/machine/HeartbeatReader.java
+++ b/src/main/java/org/sandford/machine/HeartbeatReader.java
@@ -25,7 +25,7 @@
     }
     List<ReportedTask> tasks = new ArrayList<>();
     for (JsonNode taskNode : node.path("pieces")) {
-      TaskId task = TaskId.read(taskNode.path("piece").asText());
+      TaskId task = TaskId.parse(taskNode.path("piece").asText());
       if (task == null) {
         return WorkerMessage.Malformed.MALFORMED;
       }
--- a/src/main/java/org/sandford/machine/MachineShard.java
+++ b/src/main/java/org/sandford/machine/MachineShard.java
@@ -102,8 +102,8 @@
   }
 
   /** Applies a new assignment map, in which machines and teams may have new owners. */
-  public void mapChanged() {
-    assignment.mapChanged();
+  public void applyAssignmentMap() {
+    assignment.applyAssignmentMap();
   }
 
   /** Returns the snapshots of all machines, for a controller whose link has come up. */
@@ -158,8 +158,8 @@
   }
 
   /** Reads the jobs of all tasks again, since ends of jobs may have been missed. */
-  public void jobEndsMissed() {
-    openJobs.jobEndsMissed();
+  public void recheckJobs() {
+    openJobs.recheckJobs();
   }
 
   /**
--- a/src/main/java/org/sandford/machine/MachineSnapshots.java
+++ b/src/main/java/org/sandford/machine/MachineSnapshots.java
@@ -79,7 +79,7 @@
   }
 
   /** Removes machines that are not in the new assignment map. */
-  public void mapChanged() {
+  public void removeUnassigned() {
     received.keySet().removeIf(name -> !cluster.machines().assignments().containsKey(name));
   }
 
--- a/src/main/java/org/sandford/machine/OpenJobResolver.java
+++ b/src/main/java/org/sandford/machine/OpenJobResolver.java
@@ -51,7 +51,7 @@
   }
 
   /** Reads the jobs of all tasks again, since ends of jobs may have been missed. */
-  void jobEndsMissed() {
+  void recheckJobs() {
     invalidations++;
     specs.clear();
     for (Machine machine : machines.all()) {
@@ -117,7 +117,7 @@
         }
       }
     }
-    openJobs.openJobs(open -> onOpenJobs(open, unconfirmedAtListing, invalidationsAtListing));
+    openJobs.listOpenJobs(open -> onOpenJobs(open, unconfirmedAtListing, invalidationsAtListing));
   }
 
   private void onOpenJobs(
@@ -130,7 +130,7 @@
       return;
     }
     specs.clear();
-    open.forEach((id, record) -> specs.put(id, OpenJobReader.spec(id, record.value())));
+    open.forEach((id, record) -> specs.put(id, OpenJobReader.readSpec(id, record.value())));
     for (Machine machine : machines.all()) {
       if (resolveTasks(machine, unconfirmedAtListing)) {
         publisher.markChanged(machine);
--- a/src/main/java/org/sandford/machine/ShardAssignment.java
+++ b/src/main/java/org/sandford/machine/ShardAssignment.java
@@ -33,7 +33,7 @@
   }
 
   /** Applies a new assignment map. */
-  void mapChanged() {
+  void applyAssignmentMap() {
     long now = loop.nanos();
     Map<String, MachineAssignment> map = cluster.machines().assignments();
     for (String name : machines.names()) {
--- a/src/main/java/org/sandford/model/JobSpec.java
+++ b/src/main/java/org/sandford/model/JobSpec.java
@@ -109,12 +109,12 @@
   }
 
   /** Returns whether it is a service, whose replicas run until it is cancelled. */
-  public boolean service() {
+  public boolean isService() {
     return shape == Shape.SERVICE;
   }
 
   /** Returns whether its tasks run all at the same time or not at all. */
-  public boolean gang() {
+  public boolean isGang() {
     return shape == Shape.GANG;
   }
 
@@ -122,7 +122,7 @@
    * Returns the compact form for the job's record and for other controllers. Controllers of the
    * production version read it, so neither field names nor their order may change.
    */
-  public ObjectNode json() {
+  public ObjectNode toJson() {
     ObjectNode node =
         Json.object()
             .put(Field.JOB_CLASS, jobClass)
@@ -154,7 +154,7 @@
    *
    * @throws IllegalArgumentException if its shape or rank is unknown to this version
    */
-  public static JobSpec read(String id, JsonNode node) {
+  public static JobSpec fromJson(String id, JsonNode node) {
     Set<String> instanceTypes = new TreeSet<>();
     node.path(Field.INSTANCE_TYPES).forEach(type -> instanceTypes.add(type.asText()));
     return new JobSpec(
--- a/src/main/java/org/sandford/model/TaskId.java
+++ b/src/main/java/org/sandford/model/TaskId.java
@@ -10,7 +10,7 @@
   private static final char SEPARATOR = '/';
 
   /** Parses the protocol form {@code job/number}; returns null for any other text. */
-  public static TaskId read(String text) {
+  public static TaskId parse(String text) {
     int separator = text.lastIndexOf(SEPARATOR);
     if (separator <= 0) {
       return null;
--- a/src/main/java/org/sandford/runtime/TokenBucket.java
+++ b/src/main/java/org/sandford/runtime/TokenBucket.java
@@ -16,18 +16,18 @@
   public TokenBucket(EventLoop loop, double tokensPerSecond) {
     this.loop = loop;
     this.tokensPerSecond = tokensPerSecond;
-    this.tokens = most();
+    this.tokens = capacity();
     this.refilledAtNanos = loop.nanos();
   }
 
   private void refill() {
     long nowNanos = loop.nanos();
-    tokens = Math.min(most(), tokens + tokensPerSecond * (nowNanos - refilledAtNanos) / 1e9);
+    tokens = Math.min(capacity(), tokens + tokensPerSecond * (nowNanos - refilledAtNanos) / 1e9);
     refilledAtNanos = nowNanos;
   }
 
   /** Returns the most tokens that the bucket can hold. */
-  public double most() {
+  public double capacity() {
     return Math.max(1, tokensPerSecond);
   }
 
@@ -36,17 +36,17 @@
    * part of its tokens; the requests after it wait for the rest.
    */
   public boolean allows(double count) {
-    return holds(requiredTokens(count));
+    return hasAtLeast(requiredTokens(count));
   }
 
   /** Returns whether at least {@code count} tokens are left. */
-  public boolean holds(double count) {
+  public boolean hasAtLeast(double count) {
     refill();
     return tokens >= count;
   }
 
   private double requiredTokens(double count) {
-    return Math.min(count, Math.max(1, most() * StoreConstants.BUCKET_SUFFICIENT_SHARE));
+    return Math.min(count, Math.max(1, capacity() * StoreConstants.BUCKET_SUFFICIENT_SHARE));
   }
 
   /** Takes the tokens; a negative balance delays the requests that follow. */
--- a/src/main/java/org/sandford/scaling/Autoscaler.java
+++ b/src/main/java/org/sandford/scaling/Autoscaler.java
@@ -83,7 +83,7 @@
    *
    * @param from label of the controller
    */
-  public void demand(String from, List<DemandClass> classes) {
+  public void reportDemand(String from, List<DemandClass> classes) {
     clusterDemand.report(from, classes);
   }
 
--- a/src/main/java/org/sandford/store/OpenJobReader.java
+++ b/src/main/java/org/sandford/store/OpenJobReader.java
@@ -41,15 +41,15 @@
   }
 
   /** Returns the specification in an open job's record. */
-  public static JobSpec spec(String id, JsonNode record) {
-    return JobSpec.read(id, record.path("s"));
+  public static JobSpec readSpec(String id, JsonNode record) {
+    return JobSpec.fromJson(id, record.path("s"));
   }
 
   /**
    * Lists all open jobs by id. The listing starts after this call, so a job that was stored before
    * and is missing from it has ended. It is repeated until the store answers.
    */
-  public void openJobs(Consumer<Map<String, Entry>> onListed) {
+  public void listOpenJobs(Consumer<Map<String, Entry>> onListed) {
     queuedCallers.add(onListed);
     list();
   }
--- a/src/main/java/org/sandford/store/StoreRequestQueue.java
+++ b/src/main/java/org/sandford/store/StoreRequestQueue.java
@@ -77,7 +77,7 @@
 
   /** Returns whether enough of the write rate is unused for writes that nobody waits for. */
   boolean hasSpareWriteRate() {
-    return writeRate.holds(writeRate.most() * StoreConstants.SPARE_WRITE_RATE_SHARE);
+    return writeRate.hasAtLeast(writeRate.capacity() * StoreConstants.SPARE_WRITE_RATE_SHARE);
   }
 
   /** Queues the request; {@code onReply} runs exactly once, on the event loop. */
--- a/src/test/java/org/sandford/api/JobParserTest.java
+++ b/src/test/java/org/sandford/api/JobParserTest.java
@@ -41,7 +41,7 @@
     JobSpec spec = JobParser.parse(validBody());
     JobFeasibility.check(spec, TEAMS, INSTANCE_TYPES);
     assertEquals(JobSpec.Rank.URGENT, spec.rank());
-    assertEquals(spec, JobSpec.read(spec.id(), spec.json()));
+    assertEquals(spec, JobSpec.fromJson(spec.id(), spec.toJson()));
   }
 
   @Test
--- a/src/test/java/org/sandford/cancel/CancellationsTest.java
+++ b/src/test/java/org/sandford/cancel/CancellationsTest.java
@@ -213,9 +213,9 @@
   void confirmationNotifiesPeersAtOnceAndUntilTheyHaveIt() {
     Cancellations c = controller();
     sent.clear();
-    c.confirmed("wk-1");
-    c.confirmed("wk-1");
-    c.confirmed("wk-2");
+    c.recordConfirmation("wk-1");
+    c.recordConfirmation("wk-1");
+    c.recordConfirmation("wk-2");
     assertEquals(List.of(new JobCancelled("wk-1"), new JobCancelled("wk-2")), sent);
     assertEquals(
         List.of("wk-1", "wk-2"), c.handleRequest(new CancellationsRequest(5L, "c0#1", 0L)).jobs);
--- a/src/test/java/org/sandford/job/ProductionRecordsTest.java
+++ b/src/test/java/org/sandford/job/ProductionRecordsTest.java
@@ -72,21 +72,22 @@
 
   @Test
   void specsAreWrittenWithTheBytesOfTheProductionVersion() {
-    assertEquals(ARRAY_SPEC, Json.text(jobOfShape(JobSpec.Shape.ARRAY).json()));
-    assertEquals(SERVICE_SPEC, Json.text(serviceJob().json()));
+    assertEquals(ARRAY_SPEC, Json.text(jobOfShape(JobSpec.Shape.ARRAY).toJson()));
+    assertEquals(SERVICE_SPEC, Json.text(serviceJob().toJson()));
   }
 
   @Test
   void specsOfTheProductionVersionAreRead() {
-    assertEquals(jobOfShape(JobSpec.Shape.ARRAY), JobSpec.read("wk-000412", Json.read(ARRAY_SPEC)));
-    assertEquals(serviceJob(), JobSpec.read("wk-000413", Json.read(SERVICE_SPEC)));
+    assertEquals(
+        jobOfShape(JobSpec.Shape.ARRAY), JobSpec.fromJson("wk-000412", Json.read(ARRAY_SPEC)));
+    assertEquals(serviceJob(), JobSpec.fromJson("wk-000413", Json.read(SERVICE_SPEC)));
   }
 
   @Test
   void gangSpecIsReadBackUnchanged() {
     JobSpec gangJob = jobOfShape(JobSpec.Shape.GANG);
-    assertEquals(gangJob, JobSpec.read(gangJob.id(), gangJob.json()));
-    assertTrue(gangJob.gang());
+    assertEquals(gangJob, JobSpec.fromJson(gangJob.id(), gangJob.toJson()));
+    assertTrue(gangJob.isGang());
   }
 
   @Test
