--- a/src/main/java/org/sandford/cancel/Cancellations.java
+++ b/src/main/java/org/sandford/cancel/Cancellations.java
@@ -138,7 +138,7 @@
     this.storeView = storeView;
     this.incarnationId = incarnationId;
     this.createdAt = MonotonicTime.ofNanos(loop.nanos());
-    settings.others().forEach(other -> peerLogs.put(other.label(), new PeerLog()));
+    settings.peers().forEach(peer -> peerLogs.put(peer.label(), new PeerLog()));
   }
 
   /** Begins to request the peers' logs once a heartbeat; called once. */
--- a/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
@@ -131,7 +131,7 @@
   }
 
   private void delayNextNonUrgentWrite(int ops) {
-    double pauseMs = ops * 1000 / (facts.stateWriteRps() * ClusterConstants.MAP_WRITE_RATE_SHARE);
+    double pauseMs = ops * 1000 / (facts.storeWriteRps() * ClusterConstants.MAP_WRITE_RATE_SHARE);
     nextNonUrgentWriteAtMs =
         loop.millis() + Math.max(ClusterConstants.MAP_WRITE_INTERVAL_MS, (long) pauseMs);
   }
--- a/src/main/java/org/sandford/cluster/MachineAssignmentPlanner.java
+++ b/src/main/java/org/sandford/cluster/MachineAssignmentPlanner.java
@@ -132,7 +132,7 @@
 
   private int maxEntriesPerPartition() {
     return (int)
-        (facts.stateValueBytes()
+        (facts.storeValueBytes()
             * ClusterConstants.MAP_PARTITION_FILL_SHARE
             / ClusterConstants.MAP_ENTRY_BYTES);
   }
@@ -160,7 +160,7 @@
   private void splitIfTooLarge(int number, Partition partition) {
     if (partition.machines().size() <= maxEntriesPerPartition()
         || encodedSize(partition)
-            <= facts.stateValueBytes() * ClusterConstants.MAP_PARTITION_SPLIT_SHARE) {
+            <= facts.storeValueBytes() * ClusterConstants.MAP_PARTITION_SPLIT_SHARE) {
       return;
     }
     Map<String, MachineAssignment> remaining = draft(number);
@@ -174,7 +174,7 @@
                 liveMembers.contains(remaining.get(b).owner())));
     int excess = moving.size() - maxEntriesPerPartition();
     int moved = 0;
-    while (moved < excess && drafts.size() + RESERVED_OPS < facts.stateTxnOps()) {
+    while (moved < excess && drafts.size() + RESERVED_OPS < facts.storeTxnOps()) {
       int target = nextPartitionNumber();
       int end = Math.min(excess, moved + maxEntriesPerPartition());
       for (String name : moving.subList(moved, end)) {
@@ -255,7 +255,7 @@
       Partition known = machines.partitions().get(number);
       Partition partition = new Partition(known == null ? 0 : known.revision(), draft);
       int size = encodedSize(partition);
-      if (size > facts.stateValueBytes()) {
+      if (size > facts.storeValueBytes()) {
         log.error(
             "partition exceeds the value limit of the store, left unchanged partition={} bytes={}",
             number,
@@ -264,7 +264,7 @@
       }
       total += size;
       if (total > StoreConstants.STORE_TXN_MAX_BYTES
-          || changed.size() + RESERVED_OPS >= facts.stateTxnOps()) {
+          || changed.size() + RESERVED_OPS >= facts.storeTxnOps()) {
         break;
       }
       changed.put(number, partition);
--- a/src/main/java/org/sandford/cluster/RecordVersions.java
+++ b/src/main/java/org/sandford/cluster/RecordVersions.java
@@ -45,7 +45,7 @@
     this.loop = loop;
     this.store = store;
     controllerLabels.add(settings.label());
-    settings.others().forEach(other -> controllerLabels.add(other.label()));
+    settings.peers().forEach(peer -> controllerLabels.add(peer.label()));
   }
 
   /**
--- a/src/main/java/org/sandford/controller/Controller.java
+++ b/src/main/java/org/sandford/controller/Controller.java
@@ -96,7 +96,7 @@
     Settings.Facts facts = settings.facts();
     StoreClient storeClient =
         new StoreClient(
-            loop, http, settings.store().toString(), facts.stateRps(), facts.stateWriteRps());
+            loop, http, settings.store().toString(), facts.storeRps(), facts.storeWriteRps());
     CloudClient cloud = new CloudClient(loop, http, settings.cloud().toString(), facts.cloudRps());
     terminalStates = new TerminalStates(loop);
     OpenJobReader openJobReader = new OpenJobReader(loop, storeClient, audit);
@@ -126,7 +126,7 @@
             cluster,
             links,
             machineSnapshots,
-            new RecordWriter(loop, storeClient, facts.stateTxnOps()),
+            new RecordWriter(loop, storeClient, facts.storeTxnOps()),
             openJobReader,
             terminalStates,
             jobReader,
--- a/src/main/java/org/sandford/job/JobRecordStore.java
+++ b/src/main/java/org/sandford/job/JobRecordStore.java
@@ -38,7 +38,7 @@
 
   /** Returns whether a new record would wait too long for the store. */
   boolean isOverloaded() {
-    double perSecond = settings.facts().stateWriteRps() * StoreConstants.STORE_RATE_SHARE;
+    double perSecond = settings.facts().storeWriteRps() * StoreConstants.STORE_RATE_SHARE;
     return writer.backlog() >= perSecond * ApiConstants.MAX_QUEUED_RECORDS_S;
   }
 
@@ -65,7 +65,7 @@
   void createForOwner(JobSpec spec, long acceptedAt, Consumer<TransactionResult> onResult) {
     ObjectNode record =
         JobRecordCodec.openRecord(
-            spec, acceptedAt, TaskRanges.empty(), settings.facts().stateValueBytes());
+            spec, acceptedAt, TaskRanges.empty(), settings.facts().storeValueBytes());
     writer.write(
         new RecordWriter.Write(
             idNeverUsed(spec.id()),
@@ -79,7 +79,7 @@
   /** Returns the job's current record, with as many finished tasks as fit. */
   ObjectNode openRecord(Job job) {
     return JobRecordCodec.openRecord(
-        job.spec, job.acceptedAt, job.tasks.done(), settings.facts().stateValueBytes());
+        job.spec, job.acceptedAt, job.tasks.done(), settings.facts().storeValueBytes());
   }
 
   /** Returns a write, not yet queued, that replaces the record of an open job. */
--- a/src/main/java/org/sandford/job/PreemptibleTasks.java
+++ b/src/main/java/org/sandford/job/PreemptibleTasks.java
@@ -45,7 +45,8 @@
         .teams()
         .forEach(
             (name, limits) ->
-                cpusBeyondGuarantee.computeIfPresent(name, (n, used) -> used - limits.cpus()));
+                cpusBeyondGuarantee.computeIfPresent(
+                    name, (n, used) -> used - limits.guaranteedCpus()));
   }
 
   /**
@@ -207,7 +208,7 @@
         gpus += unfinished * other.spec.gpus();
       }
     }
-    return cpus <= team.limits.cpus() + PlacementConstants.RESOURCE_EPSILON
-        && gpus <= team.limits.gpus() + PlacementConstants.RESOURCE_EPSILON;
+    return cpus <= team.limits.guaranteedCpus() + PlacementConstants.RESOURCE_EPSILON
+        && gpus <= team.limits.guaranteedGpus() + PlacementConstants.RESOURCE_EPSILON;
   }
 }
--- a/src/main/java/org/sandford/job/TeamOwnership.java
+++ b/src/main/java/org/sandford/job/TeamOwnership.java
@@ -76,7 +76,7 @@
     log.info("team acquired team={} generation={}", name, generation);
     audit.teamAcquired(name, generation, cluster.incarnationId(), cluster.teams().revision());
     requestClaim(settings.label(), team);
-    settings.others().forEach(other -> requestClaim(other.label(), team));
+    settings.peers().forEach(peer -> requestClaim(peer.label(), team));
     return team;
   }
 
--- a/src/main/java/org/sandford/peer/PeerLinks.java
+++ b/src/main/java/org/sandford/peer/PeerLinks.java
@@ -89,8 +89,8 @@
     this.settings = settings;
     this.transport = transport;
     this.incarnation = incarnation;
-    for (Settings.Other other : settings.others()) {
-      outbound.put(other.label(), new OutboundLink(other));
+    for (Settings.Peer peer : settings.peers()) {
+      outbound.put(peer.label(), new OutboundLink(peer));
     }
   }
 
@@ -189,14 +189,14 @@
 
   /** A link that this controller dialled. */
   private final class OutboundLink implements PeerTransport.Handler {
-    private final Settings.Other peer;
+    private final Settings.Peer peer;
     private OutboundState state = OutboundState.DISCONNECTED;
     private Connection connection;
     private long lastReceivedAtMillis;
     private String incarnationId = "";
     private int currentAttempt;
 
-    OutboundLink(Settings.Other peer) {
+    OutboundLink(Settings.Peer peer) {
       this.peer = peer;
     }
 
--- a/src/main/java/org/sandford/scaling/ScaleIn.java
+++ b/src/main/java/org/sandford/scaling/ScaleIn.java
@@ -94,7 +94,7 @@
         usage.onDemandByZone.merge(snapshot.zone, 1, Integer::sum);
       }
       if (isIdle(snapshot)
-          && (snapshot.draining || idleSeconds(snapshot, now) > operators.idleReturnS())) {
+          && (snapshot.draining || idleSeconds(snapshot, now) > operators.idleDecommissionS())) {
         usage.idle.add(received);
       }
     }
--- a/src/main/java/org/sandford/settings/Settings.java
+++ b/src/main/java/org/sandford/settings/Settings.java
@@ -9,7 +9,7 @@
     String zone,
     Endpoint listen,
     Endpoint peerListen,
-    List<Other> others,
+    List<Peer> peers,
     Endpoint cloud,
     Endpoint store,
     Facts facts,
@@ -24,25 +24,27 @@
   }
 
   /** Another controller of the cluster, with the address of its peer port. */
-  public record Other(String label, String zone, Endpoint address) {}
+  public record Peer(String label, String zone, Endpoint address) {}
 
   /**
    * A team's guarantees and limits in CPUs and accelerators. A guarantee of 0 means none; a limit
    * may be {@link #NO_LIMIT}.
    */
-  public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
+  public record Team(
+      String name, double guaranteedCpus, double cpusMax, double guaranteedGpus, double gpusMax) {
     /** The limit of a team that may use everything that other teams leave free. */
     public static final double NO_LIMIT = Double.POSITIVE_INFINITY;
 
     /** Creates a team from the platform's facts, where a value of 0 means none. */
-    public static Team ofFacts(
-        String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-      return new Team(name, cpus, limitOrNone(cpusMax), gpus, limitOrNone(gpusMax));
+    public static Team fromFacts(
+        String name, double guaranteedCpus, double cpusMax, double guaranteedGpus, double gpusMax) {
+      return new Team(
+          name, guaranteedCpus, limitOrNone(cpusMax), guaranteedGpus, limitOrNone(gpusMax));
     }
 
     /** Returns whether the team has any guarantee. */
     public boolean hasGuarantee() {
-      return cpus > 0 || gpus > 0;
+      return guaranteedCpus > 0 || guaranteedGpus > 0;
     }
 
     private static double limitOrNone(double factsLimit) {
@@ -62,15 +64,15 @@
       double cancelS,
       double gangWaitS,
       double gangPeerS,
-      double stateRps,
-      double stateWriteRps,
-      int stateValueBytes,
-      int stateTxnOps,
+      double storeRps,
+      double storeWriteRps,
+      int storeValueBytes,
+      int storeTxnOps,
       double cloudRps,
       double listLagS,
       int sockets,
       int controllers) {}
 
   /** The settings of the operators' file. */
-  public record Operators(int maxMachines, boolean useSpot, double idleReturnS) {}
+  public record Operators(int maxMachines, boolean useSpot, double idleDecommissionS) {}
 }
--- a/src/main/java/org/sandford/settings/SettingsLoader.java
+++ b/src/main/java/org/sandford/settings/SettingsLoader.java
@@ -50,37 +50,36 @@
   /** Validates parsed settings; error messages name {@code file}. */
   static Settings parse(String file, JsonNode root, Settings.Operators operators)
       throws SettingsException {
-    Section top = new Section(file, "", root);
-    List<Settings.Other> others = new ArrayList<>();
-    for (Section other : top.tables("others")) {
-      others.add(
-          new Settings.Other(other.text("label"), other.text("zone"), other.endpoint("address")));
+    Table top = new Table(file, "", root);
+    List<Settings.Peer> peers = new ArrayList<>();
+    for (Table peer : top.tables("others")) {
+      peers.add(new Settings.Peer(peer.text("label"), peer.text("zone"), peer.endpoint("address")));
     }
-    Section services = top.section("services");
-    Section facts = top.section("facts");
+    Table services = top.table("services");
+    Table facts = top.table("facts");
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
-    for (Section team : facts.tables("teams")) {
+    for (Table team : facts.tables("teams")) {
       String name = team.text("name");
       teams.put(
           name,
-          Settings.Team.ofFacts(
+          Settings.Team.fromFacts(
               name,
               team.number("cpus", 0, 0),
               team.number("cpus_max", 0, 0),
               team.number("gpus", 0, 0),
               team.number("gpus_max", 0, 0)));
     }
-    Section workers = facts.section("workers");
-    StateLimits storeLimits = StateLimits.read(facts.section("state"));
-    Section cloud = facts.section("cloud");
-    Section machineLimits = facts.section("machine_limits");
+    Table workers = facts.table("workers");
+    StoreLimits storeLimits = StoreLimits.read(facts.table("state"));
+    Table cloud = facts.table("cloud");
+    Table machineLimits = facts.table("machine_limits");
     Settings settings =
         new Settings(
             top.text("label"),
             top.text("zone"),
             top.endpoint("listen"),
             top.endpoint("peer_listen"),
-            List.copyOf(others),
+            List.copyOf(peers),
             services.endpoint("cloud"),
             services.endpoint("state"),
             new Settings.Facts(
@@ -98,7 +97,7 @@
                 cloud.number("rps", 0.01, Double.NaN),
                 cloud.number("list_lag_s", 0, 0),
                 (int) machineLimits.number("sockets", 16, ApiConstants.DEFAULT_SOCKETS),
-                1 + others.size()),
+                1 + peers.size()),
             operators);
     if (settings.facts().cancelS() <= settings.facts().leaseS()) {
       throw new SettingsException(
@@ -128,14 +127,14 @@
     }
     double maxMachines =
         iniNumber(ini, config, "fleet.max_machines", ScalingConstants.DEFAULT_MAX_MACHINES, 1);
-    double idleReturnS =
+    double idleDecommissionS =
         iniNumber(
             ini, config, "fleet.idle_return_s", ScalingConstants.DEFAULT_IDLE_DECOMMISSION_S, 1);
     String useSpot = config.getString("fleet.use_spot", "true");
     if (!useSpot.equals("true") && !useSpot.equals("false")) {
       throw new SettingsException(ini + ": fleet.use_spot: expected true or false, got " + useSpot);
     }
-    return new Settings.Operators((int) maxMachines, useSpot.equals("true"), idleReturnS);
+    return new Settings.Operators((int) maxMachines, useSpot.equals("true"), idleDecommissionS);
   }
 
   private static double iniNumber(
@@ -162,7 +161,7 @@
   }
 
   /** The limits of the store, valid now and after the announced change. */
-  private record StateLimits(
+  private record StoreLimits(
       double requestsPerSecond,
       double writesPerSecond,
       int valueBytes,
@@ -171,41 +170,41 @@
      * Returns the smaller of each current limit and the one that {@code next} announces; a limit
      * that is missing there does not change.
      */
-    static StateLimits read(Section state) throws SettingsException {
-      return new StateLimits(
+    static StoreLimits read(Table state) throws SettingsException {
+      return new StoreLimits(
           effectiveLimit(state, "rps"),
           effectiveLimit(state, "write_rps"),
           (int) (effectiveLimit(state, "value_kb") * 1024),
           (int) effectiveLimit(state, "txn_ops"));
     }
 
-    private static double effectiveLimit(Section state, String key) throws SettingsException {
+    private static double effectiveLimit(Table state, String key) throws SettingsException {
       double current = state.number(key, 1, Double.NaN);
-      Section next = state.optionalSection("next");
+      Table next = state.optionalTable("next");
       return next == null ? current : Math.min(current, next.number(key, 1, current));
     }
   }
 
   /** A table of the TOML file, with its path for error messages. */
-  private record Section(String file, String path, JsonNode node) {
+  private record Table(String file, String path, JsonNode node) {
     private SettingsException invalid(String key, String expected) {
       return new SettingsException(file + ": " + path + key + ": expected " + expected);
     }
 
-    Section section(String key) throws SettingsException {
+    Table table(String key) throws SettingsException {
       JsonNode value = node.path(key);
       if (!value.isObject()) {
         throw invalid(key, "a table");
       }
-      return new Section(file, path + key + ".", value);
+      return new Table(file, path + key + ".", value);
     }
 
     /** Returns the table, or null if there is none. */
-    Section optionalSection(String key) throws SettingsException {
-      return node.path(key).isMissingNode() ? null : section(key);
+    Table optionalTable(String key) throws SettingsException {
+      return node.path(key).isMissingNode() ? null : table(key);
     }
 
-    List<Section> tables(String key) throws SettingsException {
+    List<Table> tables(String key) throws SettingsException {
       JsonNode value = node.path(key);
       if (value.isMissingNode()) {
         return List.of();
@@ -213,12 +212,12 @@
       if (!value.isArray()) {
         throw invalid(key, "a list of tables");
       }
-      List<Section> result = new ArrayList<>();
+      List<Table> result = new ArrayList<>();
       for (int i = 0; i < value.size(); i++) {
         if (!value.get(i).isObject()) {
           throw invalid(key + "[" + i + "]", "a table");
         }
-        result.add(new Section(file, path + key + "[" + i + "].", value.get(i)));
+        result.add(new Table(file, path + key + "[" + i + "].", value.get(i)));
       }
       return result;
     }
--- a/src/test/java/org/sandford/scenario/ScenarioScript.java
+++ b/src/test/java/org/sandford/scenario/ScenarioScript.java
@@ -159,7 +159,8 @@
   }
 
   private void readTeam(Step line) {
-    Settings.Team team = Settings.Team.ofFacts(line.word(1), line.amount(2), line.amount(3), 0, 0);
+    Settings.Team team =
+        Settings.Team.fromFacts(line.word(1), line.amount(2), line.amount(3), 0, 0);
     teams.put(team.name(), team);
   }
 
--- a/src/test/java/org/sandford/scenario/SimulatedControllers.java
+++ b/src/test/java/org/sandford/scenario/SimulatedControllers.java
@@ -127,10 +127,10 @@
   }
 
   private Settings settings(String label, int index) {
-    List<Settings.Other> others = new ArrayList<>();
+    List<Settings.Peer> others = new ArrayList<>();
     for (int i = 0; i < script.controllers; i++) {
       if (i != index) {
-        others.add(new Settings.Other("c" + i, zoneOf(i), new Settings.Endpoint("c" + i, 81)));
+        others.add(new Settings.Peer("c" + i, zoneOf(i), new Settings.Endpoint("c" + i, 81)));
       }
     }
     return new Settings(
--- a/src/test/java/org/sandford/settings/SettingsLoaderTest.java
+++ b/src/test/java/org/sandford/settings/SettingsLoaderTest.java
@@ -61,10 +61,10 @@
         SettingsLoader.load(
                 writeFile("s.toml", VALID_TOML.replace("[facts.cloud]", announcedLimits)), null)
             .facts();
-    assertEquals(2048, facts.stateValueBytes());
-    assertEquals(24, facts.stateTxnOps(), "the announced limit is larger");
-    assertEquals(35.0, facts.stateWriteRps());
-    assertEquals(250.0, facts.stateRps(), "no limit is announced");
+    assertEquals(2048, facts.storeValueBytes());
+    assertEquals(24, facts.storeTxnOps(), "the announced limit is larger");
+    assertEquals(35.0, facts.storeWriteRps());
+    assertEquals(250.0, facts.storeRps(), "no limit is announced");
   }
 
   @Test
@@ -94,9 +94,9 @@
   void validSettingsAreLoadedAndUnknownTomlKeysIgnored() throws Exception {
     Settings settings = SettingsLoader.load(writeFile("s.toml", VALID_TOML), null);
     assertEquals("c0", settings.label());
-    assertEquals(16 * 1024, settings.facts().stateValueBytes());
+    assertEquals(16 * 1024, settings.facts().storeValueBytes());
     assertEquals(16.0, settings.facts().teams().get("red").cpusMax());
-    assertEquals("10.0.0.2:8081", settings.others().get(0).address().toString());
+    assertEquals("10.0.0.2:8081", settings.peers().get(0).address().toString());
     assertTrue(settings.operators().useSpot());
   }
 
@@ -111,7 +111,7 @@
             .facts()
             .teams()
             .get("guests");
-    assertEquals(0.0, team.cpus(), "no guarantee");
+    assertEquals(0.0, team.guaranteedCpus(), "no guarantee");
     assertEquals(Settings.Team.NO_LIMIT, team.cpusMax());
     assertEquals(Settings.Team.NO_LIMIT, team.gpusMax());
   }
--- a/src/test/java/org/sandford/settings/TestSettings.java
+++ b/src/test/java/org/sandford/settings/TestSettings.java
@@ -10,8 +10,8 @@
 
   private double leaseS = 16;
   private double cancelS = 46;
-  private int stateValueBytes = 16_384;
-  private int stateTxnOps = 24;
+  private int storeValueBytes = 16_384;
+  private int storeTxnOps = 24;
 
   /** Sets the seconds of a worker's lease, and those within which a cancelled job's tasks end. */
   public TestSettings withLeases(double newLeaseS, double newCancelS) {
@@ -22,8 +22,8 @@
 
   /** Sets the store's limits: bytes of a value, and operations of a transaction. */
   public TestSettings withStoreLimits(int valueBytes, int txnOps) {
-    stateValueBytes = valueBytes;
-    stateTxnOps = txnOps;
+    storeValueBytes = valueBytes;
+    storeTxnOps = txnOps;
     return this;
   }
 
@@ -39,26 +39,26 @@
         8,
         250,
         50,
-        stateValueBytes,
-        stateTxnOps,
+        storeValueBytes,
+        storeTxnOps,
         5,
         5,
         500,
         3);
   }
 
-  /** Returns the settings of the controller {@code label} beside {@code otherLabels}. */
-  public Settings of(String label, String... otherLabels) {
-    List<Settings.Other> others =
-        Arrays.stream(otherLabels)
-            .map(other -> new Settings.Other(other, "a", ANY_ENDPOINT))
+  /** Returns the settings of the controller {@code label} beside {@code peerLabels}. */
+  public Settings of(String label, String... peerLabels) {
+    List<Settings.Peer> peers =
+        Arrays.stream(peerLabels)
+            .map(peerLabel -> new Settings.Peer(peerLabel, "a", ANY_ENDPOINT))
             .toList();
     return new Settings(
         label,
         "a",
         ANY_ENDPOINT,
         ANY_ENDPOINT,
-        others,
+        peers,
         ANY_ENDPOINT,
         ANY_ENDPOINT,
         facts(),
