--- a/src/main/java/org/sandford/api/Api.java
+++ b/src/main/java/org/sandford/api/Api.java
@@ -60,7 +60,7 @@
    * @param uri the path; a query is ignored
    * @param answer receives the response, once
    */
-  public void take(String method, String uri, byte[] body, Consumer<ApiResponse> answer) {
+  public void handle(String method, String uri, byte[] body, Consumer<ApiResponse> answer) {
     String path = pathOf(uri);
     if (path.equals(ApiConstants.HEARTBEAT_PATH)) {
       allowOnly(
--- a/src/main/java/org/sandford/cli/ArchiveWarmUp.java
+++ b/src/main/java/org/sandford/cli/ArchiveWarmUp.java
@@ -109,7 +109,7 @@
               if (response != null) {
                 answer.accept(ApiResponse.of(200, response));
               } else {
-                controller.api().take(method, path, body, answer);
+                controller.api().handle(method, path, body, answer);
               }
             });
     server.listen(settings.listen().host(), settings.listen().port());
--- a/src/main/java/org/sandford/cli/Daemon.java
+++ b/src/main/java/org/sandford/cli/Daemon.java
@@ -30,7 +30,7 @@
     Controller controller = new Controller(loop, settings, http, peers);
     int maxConnections =
         Math.max(16, sockets - maxWorkerConnections - ApiConstants.RESERVED_SOCKETS);
-    NettyHttpServer server = new NettyHttpServer(loop, maxConnections, controller.api()::take);
+    NettyHttpServer server = new NettyHttpServer(loop, maxConnections, controller.api()::handle);
     try {
       server.listen(settings.listen().host(), settings.listen().port());
     } catch (InterruptedException e) {
--- a/src/main/java/org/sandford/controller/Controller.java
+++ b/src/main/java/org/sandford/controller/Controller.java
@@ -265,7 +265,7 @@
   }
 
   @Override
-  public Iterable<Object> greeting() {
+  public Iterable<Object> initialMessages() {
     return List.of(machineShard.completeUpdate());
   }
 
--- a/src/main/java/org/sandford/net/NettyHttpServer.java
+++ b/src/main/java/org/sandford/net/NettyHttpServer.java
@@ -46,14 +46,14 @@
  */
 public final class NettyHttpServer {
   /** Answers requests through a callback. */
-  public interface Requests {
+  public interface RequestHandler {
     /** Handles a request; {@code responder} must be called exactly once. */
     void handle(String method, String path, byte[] body, Consumer<ApiResponse> responder);
   }
 
   private static final Logger log = LoggerFactory.getLogger(NettyHttpServer.class);
   private final NettyLoop loop;
-  private final Requests requestHandler;
+  private final RequestHandler requestHandler;
   private final int maxConnections;
   private final int maxWorkerConnections;
   private final Set<Connection> connections = new LinkedHashSet<>();
@@ -67,7 +67,7 @@
   private int workerConnections;
 
   /** Creates a server for at most {@code maxConnections}, which does not listen yet. */
-  public NettyHttpServer(NettyLoop loop, int maxConnections, Requests requestHandler) {
+  public NettyHttpServer(NettyLoop loop, int maxConnections, RequestHandler requestHandler) {
     this.loop = loop;
     this.maxConnections = maxConnections;
     this.maxWorkerConnections = (int) (maxConnections * ApiConstants.WORKER_CONNECTION_SHARE);
--- a/src/main/java/org/sandford/net/NettyPeers.java
+++ b/src/main/java/org/sandford/net/NettyPeers.java
@@ -110,7 +110,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-      handler.frame(this, ByteBufUtil.getBytes(frame));
+      handler.frameReceived(this, ByteBufUtil.getBytes(frame));
     }
 
     @Override
--- a/src/main/java/org/sandford/peer/PeerLinks.java
+++ b/src/main/java/org/sandford/peer/PeerLinks.java
@@ -37,7 +37,7 @@
     void handleRequest(String sender, Object request, Consumer<Object> reply);
 
     /** Returns the messages to send to a peer first on a new link. */
-    Iterable<Object> greeting();
+    Iterable<Object> initialMessages();
   }
 
   /** Handles responses, published messages and changes of the links that carry requests. */
@@ -105,7 +105,7 @@
         () -> {
           responseHandler.linkUp(settings.label());
           requestHandler
-              .greeting()
+              .initialMessages()
               .forEach(message -> responseHandler.handleResponse(settings.label(), message));
         });
   }
@@ -230,9 +230,9 @@
             }
 
             @Override
-            public void frame(Connection c, byte[] bytes) {
+            public void frameReceived(Connection c, byte[] bytes) {
               if (ownAttempt == currentAttempt) {
-                OutboundLink.this.frame(c, bytes);
+                OutboundLink.this.frameReceived(c, bytes);
               }
             }
 
@@ -259,7 +259,7 @@
     }
 
     @Override
-    public void frame(Connection c, byte[] bytes) {
+    public void frameReceived(Connection c, byte[] bytes) {
       Object message;
       try {
         message = codec.decode(bytes);
@@ -310,7 +310,7 @@
     }
 
     @Override
-    public void frame(Connection c, byte[] bytes) {
+    public void frameReceived(Connection c, byte[] bytes) {
       if (isClosed) {
         return;
       }
@@ -359,7 +359,7 @@
       peerLabel = received.label;
       inbound.put(peerLabel, this);
       sendToPeer(new Welcome(settings.label(), incarnation.getAsLong()));
-      requestHandler.greeting().forEach(this::sendToPeer);
+      requestHandler.initialMessages().forEach(this::sendToPeer);
     }
 
     @Override
--- a/src/main/java/org/sandford/runtime/PeerTransport.java
+++ b/src/main/java/org/sandford/runtime/PeerTransport.java
@@ -19,7 +19,7 @@
     void opened(Connection connection);
 
     /** Called when a whole frame has arrived. */
-    void frame(Connection connection, byte[] frame);
+    void frameReceived(Connection connection, byte[] frame);
 
     /** Called when the connection is closed, or with null when a dialled one could not be made. */
     void closed(Connection connection);
--- a/src/test/java/org/sandford/cancel/CancellationsTest.java
+++ b/src/test/java/org/sandford/cancel/CancellationsTest.java
@@ -107,9 +107,9 @@
   void unavailableStoreEndsRenewalsWithinTheBound() {
     Cancellations c = controller();
     readStore();
-    clock.pass(LAST_RENEWAL_S - 2);
+    clock.advanceSeconds(LAST_RENEWAL_S - 2);
     assertTrue(c.mayRenewWorkerLease(true));
-    clock.pass(1.5);
+    clock.advanceSeconds(1.5);
     assertFalse(
         c.mayRenewWorkerLease(true),
         "half a second is too little for clock drift, late timers and slow kills");
@@ -121,13 +121,13 @@
     allPeersRespond(c);
     readStore();
     for (int i = 0; i < 100; i++) {
-      clock.pass(1);
+      clock.advanceSeconds(1);
       allPeersRespond(c);
     }
     assertTrue(c.mayRenewWorkerLease(true));
     // The one peer that does not respond may have confirmed cancellations.
     for (int i = 0; i < (int) LAST_RENEWAL_S; i++) {
-      clock.pass(1);
+      clock.advanceSeconds(1);
       c.handleResponse("c1", responseOf("c1#1", 0, 0));
     }
     assertFalse(c.mayRenewWorkerLease(true));
@@ -138,9 +138,9 @@
     Cancellations c = controller();
     allPeersRespond(c);
     readStore();
-    clock.pass(1);
+    clock.advanceSeconds(1);
     CancellationsResponse late = responseOf("c1#1", 0, 0);
-    clock.pass(LAST_RENEWAL_S);
+    clock.advanceSeconds(LAST_RENEWAL_S);
     c.handleResponse("c1", late);
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
     assertFalse(c.mayRenewWorkerLease(true));
@@ -151,7 +151,7 @@
     Cancellations c = controller();
     allPeersRespond(c);
     readStore();
-    clock.pass(LAST_RENEWAL_S);
+    clock.advanceSeconds(LAST_RENEWAL_S);
     CancellationsResponse newer = responseOf("c1#1", 0, 0);
     newer.machinesRevision = machinesRevision + 1;
     c.handleResponse("c1", newer);
@@ -169,13 +169,13 @@
     Cancellations c = controller();
     allPeersRespond(c);
     readStore();
-    clock.pass(LAST_RENEWAL_S);
+    clock.advanceSeconds(LAST_RENEWAL_S);
     c.handleResponse("c1", responseOf("c1#2", 0, 0));
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
     assertFalse(c.mayRenewWorkerLease(true), "the last confirmations of c1#1 may be missing");
-    clock.pass(0.1);
+    clock.advanceSeconds(0.1);
     readStore();
-    clock.pass(LAST_RENEWAL_S);
+    clock.advanceSeconds(LAST_RENEWAL_S);
     c.handleResponse("c1", responseOf("c1#2", 0, 0));
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
     assertTrue(c.mayRenewWorkerLease(true), "the store was read since");
@@ -186,7 +186,7 @@
     Cancellations c = controller();
     allPeersRespond(c);
     readStore();
-    clock.pass(LAST_RENEWAL_S);
+    clock.advanceSeconds(LAST_RENEWAL_S);
     c.handleResponse("c1", responseOf("c1#1", 7, 9, "wk-8", "wk-9"));
     c.handleResponse("c2", responseOf("c2#1", 0, 0));
     assertFalse(c.mayRenewWorkerLease(true));
@@ -199,10 +199,10 @@
     readStore();
     assertFalse(c.mayRenewWorkerLease(false));
     assertTrue(c.mayRenewWorkerLease(true));
-    clock.pass(CANCEL_S);
+    clock.advanceSeconds(CANCEL_S);
     readStore();
     assertFalse(c.mayRenewWorkerLease(false));
-    clock.pass(3);
+    clock.advanceSeconds(3);
     readStore();
     assertTrue(
         c.mayRenewWorkerLease(false),
--- a/src/test/java/org/sandford/cluster/PrefixWatchTest.java
+++ b/src/test/java/org/sandford/cluster/PrefixWatchTest.java
@@ -76,12 +76,12 @@
   void emptyReplyProvesFreshnessSinceItsRequest() {
     watch.start();
     reply(200, LISTING);
-    loop.pass(1);
+    loop.advanceSeconds(1);
     MonotonicTime beforeReply = MonotonicTime.ofNanos(loop.nanos());
     assertTrue(watch.freshAt().isBefore(beforeReply));
     reply(200, "{\"epoch\":9,\"log\":[]}");
     assertTrue(watch.freshAt().isBefore(beforeReply), "the request was sent a second ago");
-    loop.pass(1);
+    loop.advanceSeconds(1);
     reply(200, "{\"epoch\":9,\"log\":[]}");
     assertFalse(watch.freshAt().isBefore(beforeReply));
     assertEquals(2, handled.size(), "only the listing was handled");
@@ -102,7 +102,7 @@
     watch.start();
     reply(200, LISTING);
     MonotonicTime freshAt = watch.freshAt();
-    loop.pass(1);
+    loop.advanceSeconds(1);
     reply(503, "{}");
     assertEquals(freshAt, watch.freshAt());
     assertEquals(2, handled.size());
--- a/src/test/java/org/sandford/cluster/SessionMembershipTest.java
+++ b/src/test/java/org/sandford/cluster/SessionMembershipTest.java
@@ -87,11 +87,11 @@
     membership.join();
     reply(0, 404, "{}");
     reply(1, 200, "{\"epoch\":30}");
-    loop.pass(2);
+    loop.advanceSeconds(2);
     reply(2, 200, "{\"permit\":7}");
     reply(3, 200, "{\"epoch\":31}");
     assertTrue(membership.isLeaseValid());
-    loop.pass(0.8);
+    loop.advanceSeconds(0.8);
     assertFalse(membership.isLeaseValid(), "the lease of 3 s less drift and margin has expired");
   }
 
--- a/src/test/java/org/sandford/cluster/ShardBalancerTest.java
+++ b/src/test/java/org/sandford/cluster/ShardBalancerTest.java
@@ -59,9 +59,9 @@
   @Test
   void restsBetweenTwoRebalancings() {
     balancer.planMoves(MEMBERS, machines(60, 60));
-    loop.pass(3.9);
+    loop.advanceSeconds(3.9);
     assertEquals(Map.of(), balancer.planMoves(MEMBERS, machines(60, 50)));
-    loop.pass(0.2);
+    loop.advanceSeconds(0.2);
     assertEquals(6, balancer.planMoves(MEMBERS, machines(60, 50)).size());
   }
 }
--- a/src/test/java/org/sandford/job/TerminalStatesTest.java
+++ b/src/test/java/org/sandford/job/TerminalStatesTest.java
@@ -34,7 +34,7 @@
   @Test
   void recentStateIsKeptWhenTheCacheEvicts() {
     states.put("wk-recent", TerminalState.CANCELLED);
-    loop.pass(CancellationConstants.TERMINAL_STATE_RETENTION_S / 2.0);
+    loop.advanceSeconds(CancellationConstants.TERMINAL_STATE_RETENTION_S / 2.0);
     fillCacheTwice();
     assertTrue(states.contains("wk-recent"));
     assertEquals(Optional.of(TerminalState.CANCELLED), states.get("wk-recent"));
--- a/src/test/java/org/sandford/runtime/ManualEventLoop.java
+++ b/src/test/java/org/sandford/runtime/ManualEventLoop.java
@@ -1,8 +1,8 @@
 package org.sandford.runtime;
 
 /**
- * An event loop for tests of single classes: its clock moves only by {@link #pass}, {@link
- * #execute} runs tasks immediately, and timers never fire.
+ * An event loop for tests of single classes: its clock moves only by {@link #advanceSeconds},
+ * {@link #execute} runs tasks immediately, and timers never fire.
  */
 public final class ManualEventLoop implements EventLoop {
   private long nanos = 1_000_000_000_000L;
@@ -28,7 +28,7 @@
   }
 
   /** Advances the clock by {@code seconds}. */
-  public void pass(double seconds) {
+  public void advanceSeconds(double seconds) {
     nanos += (long) (seconds * 1e9);
   }
 }
--- a/src/test/java/org/sandford/scaling/ClusterDemandTest.java
+++ b/src/test/java/org/sandford/scaling/ClusterDemandTest.java
@@ -45,7 +45,7 @@
   @Test
   void reportOfASilentControllerExpires() {
     demand.report("worker-1", List.of(demandOf(1, 1)));
-    loop.pass(PeerConstants.PEER_TIMEOUT_MS / 1000.0);
+    loop.advanceSeconds(PeerConstants.PEER_TIMEOUT_MS / 1000.0);
     assertEquals(List.of(), current());
   }
 }
--- a/src/test/java/org/sandford/scenario/FakeCloud.java
+++ b/src/test/java/org/sandford/scenario/FakeCloud.java
@@ -66,7 +66,7 @@
   }
 
   @Override
-  public void take(
+  public void handle(
       String from, String method, String path, byte[] body, Consumer<Response> respond) {
     if (outage) {
       respond.accept(new Response(503, Json.object().put("error", "trouble")));
--- a/src/test/java/org/sandford/scenario/FakeServer.java
+++ b/src/test/java/org/sandford/scenario/FakeServer.java
@@ -7,5 +7,5 @@
 interface FakeServer {
   record Response(int status, ObjectNode body) {}
 
-  void take(String from, String method, String path, byte[] body, Consumer<Response> respond);
+  void handle(String from, String method, String path, byte[] body, Consumer<Response> respond);
 }
--- a/src/test/java/org/sandford/scenario/FakeStore.java
+++ b/src/test/java/org/sandford/scenario/FakeStore.java
@@ -157,7 +157,7 @@
   }
 
   @Override
-  public void take(
+  public void handle(
       String from, String method, String path, byte[] body, Consumer<Response> answered) {
     Consumer<Response> respond =
         slowMs == 0
--- a/src/test/java/org/sandford/scenario/FakeWorker.java
+++ b/src/test/java/org/sandford/scenario/FakeWorker.java
@@ -134,7 +134,7 @@
   void deliverKept(String to) {
     FakeServer server = scenario.servers.get(to);
     if (server != null && !simulation.isDead(to)) {
-      server.take(machine.name, "POST", "/hello", kept, ignored -> {});
+      server.handle(machine.name, "POST", "/hello", kept, ignored -> {});
     }
   }
 
@@ -243,7 +243,7 @@
           () -> {
             FakeServer other = scenario.servers.get(whereTo);
             if (other != null && !simulation.isDead(whereTo)) {
-              other.take(machine.name, "POST", "/hello", Json.bytes(body), ignored -> {});
+              other.handle(machine.name, "POST", "/hello", Json.bytes(body), ignored -> {});
             }
           });
     }
@@ -256,7 +256,7 @@
           to,
           () -> {
             if (scenario.servers.get(to) == server) {
-              server.take(
+              server.handle(
                   machine.name,
                   "POST",
                   "/hello",
@@ -313,13 +313,13 @@
   }
 
   @Override
-  public void take(
+  public void handle(
       String from, String method, String path, byte[] bytes, Consumer<Response> respond) {
     if (gone) {
       return;
     }
     if (hanging) {
-      whileHanging.add(() -> take(from, method, path, bytes, respond));
+      whileHanging.add(() -> handle(from, method, path, bytes, respond));
       return;
     }
     checkLease();
--- a/src/test/java/org/sandford/scenario/ScenarioUsers.java
+++ b/src/test/java/org/sandford/scenario/ScenarioUsers.java
@@ -183,7 +183,7 @@
         "users",
         to,
         () ->
-            server.take(
+            server.handle(
                 "users",
                 method,
                 path,
--- a/src/test/java/org/sandford/scenario/SimulatedControllers.java
+++ b/src/test/java/org/sandford/scenario/SimulatedControllers.java
@@ -116,7 +116,7 @@
                 () ->
                     controller
                         .api()
-                        .take(
+                        .handle(
                             method,
                             path,
                             body,
--- a/src/test/java/org/sandford/scenario/SimulatedHttpTransport.java
+++ b/src/test/java/org/sandford/scenario/SimulatedHttpTransport.java
@@ -60,7 +60,7 @@
                   target,
                   () -> {
                     if (!simulation.isDead(target) && servers.get(target) == server) {
-                      server.take(
+                      server.handle(
                           host, method, path, body == null ? new byte[0] : body, ignored -> {});
                     }
                   }));
@@ -73,7 +73,7 @@
           if (simulation.isDead(target) || servers.get(target) != server) {
             return;
           }
-          server.take(
+          server.handle(
               host,
               method,
               path,
--- a/src/test/java/org/sandford/scenario/SimulatedPeerTransport.java
+++ b/src/test/java/org/sandford/scenario/SimulatedPeerTransport.java
@@ -93,7 +93,7 @@
               other.owner.loop.whenAwake(
                   () -> {
                     if (other.open) {
-                      other.handler.frame(other, frame);
+                      other.handler.frameReceived(other, frame);
                     }
                   });
             }
