--- a/src/main/java/org/sandford/constants/JobConstants.java
+++ b/src/main/java/org/sandford/constants/JobConstants.java
@@ -32,7 +32,11 @@
   /** Milliseconds between two checks that a team's owner knows all open jobs of the team. */
   public static final int OPEN_JOBS_AUDIT_MS = 40_000;
 
-  /** Milliseconds between planning rounds when nothing changes. */
+  /**
+   * Milliseconds between planning rounds when nothing changes. Also the interval at which replicas
+   * to move off draining machines are searched for and at which the stops of an ended job's tasks
+   * are repeated, and the longest time for which a class of tasks counts as unschedulable.
+   */
   public static final int PLAN_IDLE_MS = 500;
 
   /** Milliseconds before a refused start is retried. */
@@ -71,7 +75,10 @@
    */
   public static final double PARTIAL_START_AFTER_S = 60.0;
 
-  /** Seconds for a preempted task to save a checkpoint; one without checkpoints ends at once. */
+  /**
+   * Seconds for a preempted task, or a replica that is moved off a draining machine, to save a
+   * checkpoint; one without checkpoints ends at once.
+   */
   public static final int PREEMPTION_GRACE_S = 10;
 
   /** Milliseconds between two replica moves of one controller; a replica is down meanwhile. */
--- a/src/main/java/org/sandford/runtime/EventLoop.java
+++ b/src/main/java/org/sandford/runtime/EventLoop.java
@@ -14,7 +14,10 @@
   /** Returns the reading of the monotonic clock, in nanoseconds. */
   long nanos();
 
-  /** Returns the time of day, in milliseconds since the epoch; as inexact as the host's clock. */
+  /**
+   * Returns the time of day, in milliseconds since the epoch. It is as inexact as the host's clock,
+   * whose error is at most {@code clock_error_ms} of the platform's settings.
+   */
   long wallMillis();
 
   /** Runs the task on this loop after a delay in milliseconds. */
