--- a/src/main/java/org/sandford/api/CancellationHandler.java
+++ b/src/main/java/org/sandford/api/CancellationHandler.java
@@ -28,7 +28,7 @@
 
   /** Cancels a job; {@code id} must be well formed. */
   void handle(String id, Consumer<ApiResponse> answer) {
-    if (jobs.abort(id, answer)) {
+    if (jobs.cancel(id, answer)) {
       return;
     }
     String team = jobReader.teamOf(id);
@@ -41,14 +41,14 @@
 
   private void answerFromRead(String id, JobReadResult result, Consumer<ApiResponse> answer) {
     if (result instanceof JobReadResult.Terminal) {
-      jobs.answers().ended(id).ifPresent(answer);
+      jobs.answers().terminalAnswer(id).ifPresent(answer);
     } else if (result instanceof JobReadResult.Open open) {
       cancelAtOwner(id, open.spec().team(), answer);
     } else if (result instanceof JobReadResult.Absent) {
-      answer.accept(ApiResponse.refuse(HttpStatus.NOT_FOUND, "no job has this id"));
+      answer.accept(ApiResponse.refusal(HttpStatus.NOT_FOUND, "no job has this id"));
     } else {
       answer.accept(
-          ApiResponse.later(
+          ApiResponse.retryLater(
               HttpStatus.SERVICE_UNAVAILABLE, "the job's state is not known just now", 1));
     }
   }
@@ -60,9 +60,9 @@
         answer,
         () ->
             answer.accept(
-                ApiResponse.later(
+                ApiResponse.retryLater(
                     HttpStatus.SERVICE_UNAVAILABLE,
                     "the team's owner does not answer",
-                    ApiConstants.RETRY_AFTER_NO_AUTHORITY_S)));
+                    ApiConstants.RETRY_AFTER_UNAVAILABLE_S)));
   }
 }
--- a/src/main/java/org/sandford/cancel/Cancellations.java
+++ b/src/main/java/org/sandford/cancel/Cancellations.java
@@ -138,7 +138,7 @@
     this.storeView = storeView;
     this.incarnationId = incarnationId;
     this.createdAt = MonotonicTime.ofNanos(loop.nanos());
-    settings.others().forEach(other -> peerLogs.put(other.label(), new PeerLog()));
+    settings.peers().forEach(peer -> peerLogs.put(peer.label(), new PeerLog()));
   }
 
   /** Begins to request the peers' logs once a heartbeat; called once. */
@@ -156,7 +156,7 @@
     Settings.Facts facts = settings.facts();
     long now = loop.nanos();
     double graceS =
-        facts.cancelS() * (1 - TimeConstants.CLOCK_DRIFT)
+        facts.cancelS() * (1 - TimeConstants.MAX_CLOCK_DRIFT)
             - facts.leaseS()
             - TimeConstants.KILL_MARGIN_S;
     if (!knowsCancellationsOlderThan(nanos(graceS), now)) {
@@ -164,7 +164,8 @@
     }
     // A task whose job is not confirmed may be of a job that was cancelled before this controller
     // started. The other controllers applied the same bound, so such a task ends within cancel_s.
-    double boundS = facts.cancelS() * (1 + TimeConstants.CLOCK_DRIFT) + TimeConstants.KILL_MARGIN_S;
+    double boundS =
+        facts.cancelS() * (1 + TimeConstants.MAX_CLOCK_DRIFT) + TimeConstants.KILL_MARGIN_S;
     return jobsConfirmedOpen
         || storeView.terminalStatesCompleteSince().isOlderThan(nanos(boundS), now);
   }
@@ -198,7 +199,7 @@
    * Logs a cancellation that is about to be confirmed to a user and notifies the other controllers
    * at once.
    */
-  public void confirmed(String job) {
+  public void recordConfirmation(String job) {
     if (!confirmedJobs.add(job)) {
       return;
     }
--- a/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
+++ b/src/main/java/org/sandford/cluster/AssignmentMapWriter.java
@@ -91,7 +91,7 @@
     store.transact(
         conditions,
         ops,
-        Priority.MAP,
+        Priority.ASSIGNMENT_MAP,
         result -> {
           writing = false;
           if (result.outcome() == Outcome.APPLIED) {
@@ -131,7 +131,7 @@
   }
 
   private void delayNextNonUrgentWrite(int ops) {
-    double pauseMs = ops * 1000 / (facts.stateWriteRps() * ClusterConstants.MAP_WRITE_RATE_SHARE);
+    double pauseMs = ops * 1000 / (facts.storeWriteRps() * ClusterConstants.MAP_WRITE_RATE_SHARE);
     nextNonUrgentWriteAtMs =
         loop.millis() + Math.max(ClusterConstants.MAP_WRITE_INTERVAL_MS, (long) pauseMs);
   }
@@ -139,7 +139,7 @@
   private void applyWritten(
       long revision, Teams nextTeams, MachineAssignmentPlanner.Plan machines) {
     if (!nextTeams.equals(map.teams())) {
-      map.merge(new Teams(revision, nextTeams.lastGeneration(), nextTeams.of()));
+      map.merge(new Teams(revision, nextTeams.lastGeneration(), nextTeams.assignments()));
     }
     if (!machines.changed().isEmpty()) {
       Map<Integer, Partition> written = new TreeMap<>();
--- a/src/main/java/org/sandford/constants/JobConstants.java
+++ b/src/main/java/org/sandford/constants/JobConstants.java
@@ -9,7 +9,7 @@
    * terminal state is written. Until then each task's worker keeps its result, so a failover loses
    * none.
    */
-  public static final int PROGRESS_WRITE_MS = 8_000;
+  public static final int PROGRESS_WRITE_DELAY_MS = 8_000;
 
   /** Minimum milliseconds between planning rounds; changes in between share the next one. */
   public static final int PLAN_INTERVAL_MS = 40;
@@ -32,7 +32,11 @@
   /** Milliseconds between two checks that a team's owner knows all open jobs of the team. */
   public static final int OPEN_JOBS_AUDIT_MS = 40_000;
 
-  /** Milliseconds between planning rounds when nothing changes. */
+  /**
+   * Milliseconds between planning rounds when nothing changes. Also the interval at which replicas
+   * to move off draining machines are searched for and at which the stops of an ended job's tasks
+   * are repeated, and the longest time for which a class of tasks counts as unschedulable.
+   */
   public static final int PLAN_IDLE_MS = 500;
 
   /** Milliseconds before a refused start is retried. */
@@ -57,7 +61,7 @@
    * Milliseconds for which a machine's owner keeps a reservation: long enough for preemption and
    * the next planning round.
    */
-  public static final int RESERVATION_MS = 2_500;
+  public static final int RESERVATION_TTL_MS = 2_500;
 
   /** Seconds after which free resources are reserved for a job that waits to start as a whole. */
   public static final double RESERVE_AFTER_S = 40.0;
@@ -71,7 +75,10 @@
    */
   public static final double PARTIAL_START_AFTER_S = 60.0;
 
-  /** Seconds for a preempted task to save a checkpoint; one without checkpoints ends at once. */
+  /**
+   * Seconds for a preempted task, or a replica that is moved off a draining machine, to save a
+   * checkpoint; one without checkpoints ends at once.
+   */
   public static final int PREEMPTION_GRACE_S = 10;
 
   /** Milliseconds between two replica moves of one controller; a replica is down meanwhile. */
--- a/src/main/java/org/sandford/job/JobAcceptance.java
+++ b/src/main/java/org/sandford/job/JobAcceptance.java
@@ -31,7 +31,7 @@
 
   private static final ApiResponse NOT_STORED = unavailable("the job cannot be stored just now");
   private static final ApiResponse OVERLOADED =
-      ApiResponse.later(
+      ApiResponse.retryLater(
           HttpStatus.TOO_MANY_REQUESTS,
           "too many submissions at once",
           ApiConstants.RETRY_AFTER_OVERLOAD_S);
@@ -115,7 +115,7 @@
       case APPLIED -> markAccepted(job, result.revision(), HttpStatus.CREATED);
       case REFUSED -> rejectSubmission(job, unavailable("the job could not be stored"));
       case CONFLICT -> {
-        if (result.failed().contains(Cluster.TEAMS_KEY)) {
+        if (result.failedKeys().contains(Cluster.TEAMS_KEY)) {
           rejectSubmission(job, unavailable("the teams' owners change"));
         } else {
           readBack(job);
@@ -178,7 +178,9 @@
       }
     } else if (result instanceof JobReadResult.Terminal) {
       owned.remove(job);
-      answers.ended(job.spec.id()).ifPresent(ended -> answerSubmissions(job, ended));
+      answers
+          .terminalAnswer(job.spec.id())
+          .ifPresent(terminalAnswer -> answerSubmissions(job, terminalAnswer));
     } else if (result instanceof JobReadResult.Absent) {
       createRecord(job);
     } else {
@@ -230,7 +232,7 @@
   }
 
   private static ApiResponse unavailable(String reason) {
-    return ApiResponse.later(
-        HttpStatus.SERVICE_UNAVAILABLE, reason, ApiConstants.RETRY_AFTER_NO_AUTHORITY_S);
+    return ApiResponse.retryLater(
+        HttpStatus.SERVICE_UNAVAILABLE, reason, ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
   }
 }
--- a/src/main/java/org/sandford/job/JobReader.java
+++ b/src/main/java/org/sandford/job/JobReader.java
@@ -31,7 +31,7 @@
   private final AuditLog audit;
   private final Cache<String, ImmutableFacts> factsByJob =
       Caffeine.newBuilder()
-          .maximumSize(ApiConstants.JOB_TEAM_CACHE_SIZE)
+          .maximumSize(ApiConstants.JOB_FACTS_CACHE_SIZE)
           .executor(Runnable::run)
           .build();
 
@@ -55,7 +55,7 @@
   }
 
   /** Caches the facts of the job that never change. */
-  public void remember(JobSpec spec) {
+  public void cacheFacts(JobSpec spec) {
     factsByJob.put(spec.id(), new ImmutableFacts(spec.team(), Resources.ofTask(spec)));
   }
 
@@ -91,8 +91,8 @@
   }
 
   private JobReadResult openJob(String job, StoreClient.Entry entry) {
-    JobSpec spec = OpenJobReader.spec(job, entry.value());
-    remember(spec);
+    JobSpec spec = OpenJobReader.readSpec(job, entry.value());
+    cacheFacts(spec);
     return JobRecordCodec.openJob(spec, entry);
   }
 
--- a/src/main/java/org/sandford/job/OwnedJobs.java
+++ b/src/main/java/org/sandford/job/OwnedJobs.java
@@ -70,10 +70,10 @@
   ApiResponse refusalFor(String team) {
     Team owned = teams.get(team);
     if (owned == null || !owned.isServed() || !cluster.sessionLeaseValid()) {
-      return ApiResponse.later(
+      return ApiResponse.retryLater(
           503,
           "no controller speaks for team " + team + " just now",
-          ApiConstants.RETRY_AFTER_NO_AUTHORITY_S);
+          ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
     }
     return null;
   }
@@ -97,6 +97,6 @@
   void add(Team team, Job job) {
     team.jobs.put(job.spec.id(), job);
     jobs.put(job.spec.id(), job);
-    jobReader.remember(job.spec);
+    jobReader.cacheFacts(job.spec);
   }
 }
--- a/src/main/java/org/sandford/job/TaskStarter.java
+++ b/src/main/java/org/sandford/job/TaskStarter.java
@@ -33,12 +33,13 @@
   void start(Team team, Job job, Planner.Plan plan) {
     List<Integer> tasks = job.tasks.firstWaiting(plan.tasks());
     List<TaskPlacement> unsent = new ArrayList<>();
-    boolean gang = job.spec.gang();
+    boolean gang = job.spec.isGang();
     long gangAttempt = gang ? team.nextAttempt() : 0;
     int nextIndex = 0;
     job.setWaitReason(WaitReason.NONE);
     for (Planner.Allocation allocation : plan.allocations()) {
-      long generation = cluster.machines().of().get(allocation.candidate().machine).generation();
+      long generation =
+          cluster.machines().assignments().get(allocation.candidate().machine).generation();
       for (int i = 0; i < allocation.tasks(); i++) {
         long attempt = gang ? gangAttempt : team.nextAttempt();
         TaskPlacement placement =
--- a/src/main/java/org/sandford/machine/StartAdmission.java
+++ b/src/main/java/org/sandford/machine/StartAdmission.java
@@ -67,13 +67,13 @@
   }
 
   private Optional<StartRefusal> checkResources(StartTask request, Machine machine) {
-    InstanceType instanceType = instanceTypes.apply(machine.assignment().kind());
+    InstanceType instanceType = instanceTypes.apply(machine.assignment().instanceType());
     if (instanceType == null || !machine.tasks().allJobsConfirmedOpen()) {
       return Optional.of(StartRefusal.RESOURCES_UNKNOWN);
     }
     double freeCpus = instanceType.cpus();
     double freeGpus = instanceType.gpus();
-    double freeRam = instanceType.ram();
+    double freeRam = instanceType.ramGb();
     for (TaskEntry entry : machine.tasks().all()) {
       if (entry.isOnMachine()) {
         freeCpus -= entry.cpus();
@@ -83,9 +83,9 @@
     }
     ReservedResources reserved = machine.reservedByPrecedingJobs(request, loop.nanos());
     boolean fits =
-        request.cpus <= freeCpus - reserved.cpus() + PlacementConstants.EPSILON
-            && request.gpus <= freeGpus - reserved.gpus() + PlacementConstants.EPSILON
-            && request.ram <= freeRam - reserved.ram() + PlacementConstants.EPSILON;
+        request.cpus <= freeCpus - reserved.cpus() + PlacementConstants.RESOURCE_EPSILON
+            && request.gpus <= freeGpus - reserved.gpus() + PlacementConstants.RESOURCE_EPSILON
+            && request.ram <= freeRam - reserved.ram() + PlacementConstants.RESOURCE_EPSILON;
     return fits ? Optional.empty() : Optional.of(StartRefusal.INSUFFICIENT_RESOURCES);
   }
 }
--- a/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
+++ b/src/main/java/org/sandford/scaling/ScaleOutPlanner.java
@@ -221,7 +221,7 @@
     for (InstanceType instanceType : market.instanceTypes().values()) {
       for (String zone : instanceType.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          InstancePool pool = new InstancePool(instanceType.kind(), zone, spot);
+          InstancePool pool = new InstancePool(instanceType.name(), zone, spot);
           CandidateMachine candidate = pool.candidate("", instanceType);
           int fittingTasks = Math.min(remainingTasks, request.countFitting(candidate));
           boolean zoneFull =
@@ -238,8 +238,9 @@
           double zoneCpus = cpusByZone.getOrDefault(zone, 0.0);
           boolean better =
               best == null
-                  || price < bestPrice - PlacementConstants.EPSILON
-                  || (price < bestPrice + PlacementConstants.EPSILON && zoneCpus < bestZoneCpus);
+                  || price < bestPrice - PlacementConstants.RESOURCE_EPSILON
+                  || (price < bestPrice + PlacementConstants.RESOURCE_EPSILON
+                      && zoneCpus < bestZoneCpus);
           if (better) {
             best = pool;
             bestPrice = price;
--- a/src/main/java/org/sandford/store/StoreRequestQueue.java
+++ b/src/main/java/org/sandford/store/StoreRequestQueue.java
@@ -77,7 +77,7 @@
 
   /** Returns whether enough of the write rate is unused for writes that nobody waits for. */
   boolean hasSpareWriteRate() {
-    return writeRate.holds(writeRate.most() * StoreConstants.SPARE_WRITE_RATE_SHARE);
+    return writeRate.hasAtLeast(writeRate.capacity() * StoreConstants.SPARE_WRITE_RATE_SHARE);
   }
 
   /** Queues the request; {@code onReply} runs exactly once, on the event loop. */
@@ -121,7 +121,7 @@
       while (!queue.isEmpty()) {
         QueuedRequest head = queue.peekFirst();
         // Renewals ignore the rate limits: a lost session lease causes a failover.
-        if (priority != Priority.RENEWAL) {
+        if (priority != Priority.LIVENESS) {
           if (!requestRate.allows(1)) {
             sendQueuedAfter(requestRate.waitMillis(1));
             return;
--- a/src/test/java/org/sandford/scenario/FakeStore.java
+++ b/src/test/java/org/sandford/scenario/FakeStore.java
@@ -160,7 +160,7 @@
   }
 
   @Override
-  public void take(
+  public void handle(
       String from, String method, String path, byte[] body, Consumer<Response> respondAtOnce) {
     Consumer<Response> respond =
         maxAnswerDelayMs == 0
--- a/src/test/java/org/sandford/scenario/ScenarioUsers.java
+++ b/src/test/java/org/sandford/scenario/ScenarioUsers.java
@@ -186,7 +186,7 @@
         "users",
         to,
         () ->
-            server.take(
+            server.handle(
                 "users",
                 method,
                 path,
