--- a/src/main/java/org/sandford/api/FirstAnswer.java
+++ b/src/main/java/org/sandford/api/FirstAnswer.java
@@ -28,10 +28,10 @@
 
   private void answerDeadlineExceeded() {
     deliverOnce(
-        ApiResponse.later(
+        ApiResponse.retryLater(
             HttpStatus.SERVICE_UNAVAILABLE,
             "no answer in time",
-            ApiConstants.RETRY_AFTER_NO_AUTHORITY_S));
+            ApiConstants.RETRY_AFTER_UNAVAILABLE_S));
   }
 
   private void deliverOnce(ApiResponse answer) {
--- a/src/main/java/org/sandford/api/ForwardedRequestHandler.java
+++ b/src/main/java/org/sandford/api/ForwardedRequestHandler.java
@@ -46,7 +46,7 @@
     } else if (isOfKind(request, UserRequestKind.CANCEL)) {
       cancel(request.job, answer);
     } else {
-      answer.accept(ApiResponse.refuse(HttpStatus.BAD_REQUEST, "unknown call " + request.verb));
+      answer.accept(ApiResponse.refusal(HttpStatus.BAD_REQUEST, "unknown call " + request.verb));
     }
   }
 
@@ -58,11 +58,13 @@
     return jobs.answers()
         .fromMemory(id)
         .orElseGet(
-            () -> ApiResponse.later(HttpStatus.SERVICE_UNAVAILABLE, "only the store can tell", 1));
+            () ->
+                ApiResponse.retryLater(
+                    HttpStatus.SERVICE_UNAVAILABLE, "only the store can tell", 1));
   }
 
   private void cancel(String id, Consumer<ApiResponse> answer) {
-    if (!jobs.abort(id, answer)) {
+    if (!jobs.cancel(id, answer)) {
       jobs.answers()
           .fromStore(id, storeAnswer -> answer.accept(cancellationAnswerFor(storeAnswer)));
     }
@@ -71,11 +73,11 @@
   /** Answers 503 for a job that is open in the store, since this controller is still loading it. */
   private static ApiResponse cancellationAnswerFor(ApiResponse storeAnswer) {
     return storeAnswer.status() == HttpStatus.NOT_FOUND
-            || TerminalState.isTerminal(storeAnswer.state())
+            || TerminalState.isTerminal(storeAnswer.jobStatus())
         ? storeAnswer
-        : ApiResponse.later(
+        : ApiResponse.retryLater(
             HttpStatus.SERVICE_UNAVAILABLE,
             "the job's owner is not ready",
-            ApiConstants.RETRY_AFTER_NO_AUTHORITY_S);
+            ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
   }
 }
--- a/src/main/java/org/sandford/api/SubmissionHandler.java
+++ b/src/main/java/org/sandford/api/SubmissionHandler.java
@@ -49,7 +49,7 @@
       spec = JobParser.parse(body);
       if (autoscaler.instanceTypes().isEmpty()) {
         answer.accept(
-            ApiResponse.later(
+            ApiResponse.retryLater(
                 HttpStatus.SERVICE_UNAVAILABLE, "the machine types are not known yet", 1));
         return;
       }
@@ -58,15 +58,15 @@
       answerRejection(JobParser.validIdOrEmpty(body), rejection, answer);
       return;
     }
-    if (spec.gang() && !recordVersions.allKnowGangs()) {
+    if (spec.isGang() && !recordVersions.allSupportGangs()) {
       answer.accept(
-          ApiResponse.later(
+          ApiResponse.retryLater(
               HttpStatus.SERVICE_UNAVAILABLE,
               "not all controllers know gangs yet",
               ApiConstants.RETRY_AFTER_OVERLOAD_S));
       return;
     }
-    jobReader.remember(spec);
+    jobReader.cacheFacts(spec);
     submitToOwner(spec, answer);
   }
 
@@ -86,7 +86,7 @@
   /** Rejects a job unless it was accepted before, since an accepted job stays accepted. */
   private void answerRejection(
       String id, JobRejectedException rejection, Consumer<ApiResponse> answer) {
-    ApiResponse refusal = ApiResponse.refuse(rejection.status(), rejection.getMessage());
+    ApiResponse refusal = ApiResponse.refusal(rejection.status(), rejection.getMessage());
     if (id.isEmpty()) {
       answer.accept(refusal);
       return;
--- a/src/main/java/org/sandford/cluster/Cluster.java
+++ b/src/main/java/org/sandford/cluster/Cluster.java
@@ -36,7 +36,7 @@
   /** Notified on the event loop. */
   public interface Listener {
     /** The assignment map, the session lease, the members or the leader changed. */
-    void mapChanged();
+    void clusterStateChanged();
 
     /** A job's terminal state was stored by any controller. */
     void jobEnded(String job, JsonNode record);
@@ -45,7 +45,7 @@
     void jobAdded(String job, String team);
 
     /** Terminal states may have been missed: state derived from them must be read again. */
-    void jobEndsMissed();
+    void terminalStatesMissed();
   }
 
   /** A job's team, and the revision of the key that announces the job. */
@@ -55,9 +55,10 @@
    * A machine to be added to the assignment map.
    *
    * @param address host and port of its worker agent, or empty while it is not known
-   * @param kind the instance type
+   * @param instanceType the name of its instance type
    */
-  public record NewMachine(String name, String address, String kind, String zone, boolean spot) {
+  public record NewMachine(
+      String name, String address, String instanceType, String zone, boolean spot) {
     boolean hasAddress() {
       return !address.isEmpty();
     }
@@ -198,8 +199,8 @@
   /**
    * Returns the part of the assignment map that a peer with these revisions lacks, or null if none.
    */
-  public AssignmentUpdate missingFrom(AssignmentRevisions peerRevisions) {
-    return exchange.missingFrom(peerRevisions).orElse(null);
+  public AssignmentUpdate updateFor(AssignmentRevisions peerRevisions) {
+    return exchange.updateFor(peerRevisions).orElse(null);
   }
 
   /**
@@ -208,7 +209,7 @@
    */
   public void applyUpdate(AssignmentUpdate update) {
     if (exchange.apply(update)) {
-      listener.mapChanged();
+      listener.clusterStateChanged();
     }
   }
 
@@ -252,7 +253,9 @@
    */
   public Map<String, TeamAssignment> teamsToHandOver() {
     Map<String, TeamAssignment> handovers = new TreeMap<>();
-    reconciler.teamToHandOver().ifPresent(team -> handovers.put(team, map.teams().of().get(team)));
+    reconciler
+        .teamToHandOver()
+        .ifPresent(team -> handovers.put(team, map.teams().assignments().get(team)));
     return handovers;
   }
 
@@ -265,7 +268,7 @@
   }
 
   private void onElected() {
-    listener.mapChanged();
+    listener.clusterStateChanged();
     reconciler.reconcile();
   }
 
@@ -298,13 +301,13 @@
     @Override
     public void joined(String incarnationId) {
       members.joined(membership.label(), incarnationId);
-      listener.mapChanged();
+      listener.clusterStateChanged();
       election.campaign();
     }
 
     @Override
     public void leaseChanged() {
-      listener.mapChanged();
+      listener.clusterStateChanged();
     }
   }
 
@@ -319,14 +322,14 @@
 
     @Override
     public void caughtUp() {
-      listener.mapChanged();
+      listener.clusterStateChanged();
       election.campaign();
     }
 
     @Override
     public void changed(List<KeyChange> changes) {
       apply(changes);
-      listener.mapChanged();
+      listener.clusterStateChanged();
       election.campaign();
       reconciler.reconcile();
     }
@@ -339,8 +342,8 @@
     }
 
     @Override
-    public void jobEndsMissed() {
-      listener.jobEndsMissed();
+    public void terminalStatesMissed() {
+      listener.terminalStatesMissed();
     }
   }
 
@@ -348,7 +351,7 @@
     @Override
     public void written() {
       pending.dropCompleted();
-      listener.mapChanged();
+      listener.clusterStateChanged();
       reconciler.reconcile();
     }
 
@@ -356,7 +359,7 @@
     public void readBack(List<Entry> entries) {
       apply(entries);
       pending.dropCompleted();
-      listener.mapChanged();
+      listener.clusterStateChanged();
     }
   }
 }
--- a/src/main/java/org/sandford/job/DemandReport.java
+++ b/src/main/java/org/sandford/job/DemandReport.java
@@ -30,13 +30,13 @@
       int allowed =
           Math.min(countFitting(cpus, job.spec.cpus()), countFitting(gpus, job.spec.gpus()));
       int tasks = Math.max(0, Math.min(allowed, job.tasks.waitingCount()));
-      return job.spec.gang() && tasks < job.tasks.waitingCount() ? 0 : tasks;
+      return job.spec.isGang() && tasks < job.tasks.waitingCount() ? 0 : tasks;
     }
 
     private static int countFitting(double remaining, double perTask) {
       return perTask <= 0
           ? Integer.MAX_VALUE
-          : (int) Math.floor((remaining + PlacementConstants.EPSILON) / perTask);
+          : (int) Math.floor((remaining + PlacementConstants.RESOURCE_EPSILON) / perTask);
     }
 
     void deduct(Job job, int tasks) {
@@ -81,7 +81,7 @@
     remainingQuota.deduct(job, tasks);
     double waitedS = (nowNanos - job.tasks.waitingSinceNanos()) / TimeConstants.NANOS_PER_S;
     JobSpec spec = job.spec;
-    if (spec.spreadAcrossZones() || spec.sameZone() || spec.gang()) {
+    if (spec.spreadAcrossZones() || spec.sameZone() || spec.isGang()) {
       classes.add(classOf(job, tasks, waitedS));
       return;
     }
@@ -103,12 +103,12 @@
         spec.rank().number(),
         spec.cpus(),
         spec.gpus(),
-        spec.ram(),
+        spec.ramGb(),
         tasks,
         spec.spotAllowed(),
         spec.spreadAcrossZones(),
         spec.sameZone(),
-        spec.service(),
+        spec.isService(),
         new ArrayList<>(spec.allowedInstanceTypes()),
         spec.zone(),
         waitedS,
--- a/src/main/java/org/sandford/job/JobCancellation.java
+++ b/src/main/java/org/sandford/job/JobCancellation.java
@@ -23,10 +23,10 @@
    * Cancels the job and answers once its terminal state is stored. Returns false, without an
    * answer, if the job is not known here.
    */
-  boolean abort(String id, Consumer<ApiResponse> answer) {
-    Optional<ApiResponse> ended = answers.ended(id);
-    if (ended.isPresent()) {
-      answer.accept(ended.get());
+  boolean cancel(String id, Consumer<ApiResponse> answer) {
+    Optional<ApiResponse> terminalAnswer = answers.terminalAnswer(id);
+    if (terminalAnswer.isPresent()) {
+      answer.accept(terminalAnswer.get());
       return true;
     }
     Job job = owned.job(id);
@@ -38,8 +38,8 @@
       answer.accept(refusal);
     } else if (job.phase() == Job.Phase.STORING) {
       answer.accept(
-          ApiResponse.later(
-              503, "the job is just being stored", ApiConstants.RETRY_AFTER_NO_AUTHORITY_S));
+          ApiResponse.retryLater(
+              503, "the job is just being stored", ApiConstants.RETRY_AFTER_UNAVAILABLE_S));
     } else {
       cancelOwned(job, answer);
     }
--- a/src/main/java/org/sandford/job/JobRecords.java
+++ b/src/main/java/org/sandford/job/JobRecords.java
@@ -102,7 +102,7 @@
   private void scheduleProgressWrite(Job job) {
     job.progressWriteScheduled = true;
     loop.after(
-        JobConstants.PROGRESS_WRITE_MS,
+        JobConstants.PROGRESS_WRITE_DELAY_MS,
         () -> {
           job.progressWriteScheduled = false;
           boolean stillNeeded =
@@ -192,7 +192,7 @@
       answerCancellations(job, unavailable("the store does not take the change"));
       loop.after(StoreConstants.STORE_RETRY_MS, () -> flush(job));
     } else if (result.outcome() == Outcome.CONFLICT
-        && result.failed().contains(Cluster.TEAMS_KEY)) {
+        && result.failedKeys().contains(Cluster.TEAMS_KEY)) {
       loop.after(StoreConstants.STORE_RETRY_MS, () -> flush(job));
     } else {
       job.recordWritePending = true;
@@ -224,8 +224,8 @@
   }
 
   private static ApiResponse unavailable(String reason) {
-    return ApiResponse.later(
-        HttpStatus.SERVICE_UNAVAILABLE, reason, ApiConstants.RETRY_AFTER_NO_AUTHORITY_S);
+    return ApiResponse.retryLater(
+        HttpStatus.SERVICE_UNAVAILABLE, reason, ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
   }
 
   /** Answers all users who wait for the job's cancellation. */
--- a/src/main/java/org/sandford/job/TaskReconciler.java
+++ b/src/main/java/org/sandford/job/TaskReconciler.java
@@ -94,7 +94,7 @@
    * never be released, since the machine is not reported again.
    */
   private boolean isAuthoritative(MachineSnapshot snapshot) {
-    return snapshot.reconciled && cluster.machines().of().containsKey(snapshot.machine);
+    return snapshot.reconciled && cluster.machines().assignments().containsKey(snapshot.machine);
   }
 
   /**
@@ -172,7 +172,7 @@
         && job.spec.checkpointIntervalS() > 0
         && placement.phase() == TaskPhase.RUNNING) {
       int graceS = (int) Math.ceil(job.spec.checkpointCostS());
-      if (job.spec.gang()) {
+      if (job.spec.isGang()) {
         gangs.stopGracefully(job, graceS);
       } else {
         commands.stop(placement, graceS);
--- a/src/main/java/org/sandford/job/TeamOwnership.java
+++ b/src/main/java/org/sandford/job/TeamOwnership.java
@@ -47,7 +47,7 @@
 
   /** Applies the assignment map; returns the acquired teams, whose jobs have yet to be loaded. */
   List<Team> applyAssignments() {
-    Map<String, TeamAssignment> assignments = cluster.teams().of();
+    Map<String, TeamAssignment> assignments = cluster.teams().assignments();
     for (Team team : new ArrayList<>(owned.teams().values())) {
       TeamAssignment assignment = assignments.get(team.name);
       if (assignment == null
@@ -76,7 +76,7 @@
     log.info("team acquired team={} generation={}", name, generation);
     audit.teamAcquired(name, generation, cluster.incarnationId(), cluster.teams().revision());
     requestClaim(settings.label(), team);
-    settings.others().forEach(other -> requestClaim(other.label(), team));
+    settings.peers().forEach(peer -> requestClaim(peer.label(), team));
     return team;
   }
 
@@ -85,7 +85,7 @@
   }
 
   /** Sends the claims of all owned teams over a new link to a controller. */
-  void linkUp(String peer) {
+  void linkEstablished(String peer) {
     owned.teams().values().forEach(team -> requestClaim(peer, team));
   }
 
@@ -110,8 +110,8 @@
       owned.jobs().remove(job.spec.id());
       job.placements().forEach(candidates::removePlacement);
       ApiResponse retryLater =
-          ApiResponse.later(
-              503, "the team's owner changes", ApiConstants.RETRY_AFTER_NO_AUTHORITY_S);
+          ApiResponse.retryLater(
+              503, "the team's owner changes", ApiConstants.RETRY_AFTER_UNAVAILABLE_S);
       job.submissionCallbacks.forEach(callback -> callback.accept(retryLater));
       job.cancellationCallbacks.forEach(callback -> callback.accept(retryLater));
     }
--- a/src/main/java/org/sandford/model/JobSpec.java
+++ b/src/main/java/org/sandford/model/JobSpec.java
@@ -19,7 +19,7 @@
  * @param tasks the number of its tasks, which are numbered from 0
  * @param cpus CPUs
  * @param gpus accelerators
- * @param ram memory, in GB
+ * @param ramGb memory, in GB
  * @param allowedInstanceTypes the allowed instance types; empty for any
  * @param zone the only allowed zone; empty for any
  * @param sameZone whether all tasks must be in the same zone
@@ -41,7 +41,7 @@
     int tasks,
     double cpus,
     double gpus,
-    double ram,
+    double ramGb,
     Set<String> allowedInstanceTypes,
     String zone,
     boolean sameZone,
@@ -109,12 +109,12 @@
   }
 
   /** Returns whether it is a service, whose replicas run until it is cancelled. */
-  public boolean service() {
+  public boolean isService() {
     return shape == Shape.SERVICE;
   }
 
   /** Returns whether its tasks run all at the same time or not at all. */
-  public boolean gang() {
+  public boolean isGang() {
     return shape == Shape.GANG;
   }
 
@@ -122,7 +122,7 @@
    * Returns the compact form for the job's record and for other controllers. Controllers of the
    * production version read it, so neither field names nor their order may change.
    */
-  public ObjectNode json() {
+  public ObjectNode toJson() {
     ObjectNode node =
         Json.object()
             .put(Field.JOB_CLASS, jobClass)
@@ -132,7 +132,7 @@
             .put(Field.TASKS, tasks)
             .put(Field.CPUS, cpus)
             .put(Field.GPUS, gpus)
-            .put(Field.RAM_GB, ram)
+            .put(Field.RAM_GB, ramGb)
             .put(Field.ZONE, zone)
             .put(Field.SAME_ZONE, toFlag(sameZone))
             .put(Field.SPREAD_ACROSS_ZONES, toFlag(spreadAcrossZones))
@@ -154,7 +154,7 @@
    *
    * @throws IllegalArgumentException if its shape or rank is unknown to this version
    */
-  public static JobSpec read(String id, JsonNode node) {
+  public static JobSpec fromJson(String id, JsonNode node) {
     Set<String> instanceTypes = new TreeSet<>();
     node.path(Field.INSTANCE_TYPES).forEach(type -> instanceTypes.add(type.asText()));
     return new JobSpec(
--- a/src/test/java/org/sandford/scenario/FakeWorker.java
+++ b/src/test/java/org/sandford/scenario/FakeWorker.java
@@ -136,7 +136,7 @@
   void deliverCapturedReport(String to) {
     FakeServer server = scenario.servers.get(to);
     if (server != null && !simulation.isDead(to)) {
-      server.take(machine.name, "POST", "/hello", capturedReport, ignored -> {});
+      server.handle(machine.name, "POST", "/hello", capturedReport, ignored -> {});
     }
   }
 
@@ -249,7 +249,7 @@
           () -> {
             FakeServer other = scenario.servers.get(lateTarget);
             if (other != null && !simulation.isDead(lateTarget)) {
-              other.take(machine.name, "POST", "/hello", Json.bytes(body), ignored -> {});
+              other.handle(machine.name, "POST", "/hello", Json.bytes(body), ignored -> {});
             }
           });
     }
@@ -262,7 +262,7 @@
           to,
           () -> {
             if (scenario.servers.get(to) == server) {
-              server.take(
+              server.handle(
                   machine.name,
                   "POST",
                   "/hello",
@@ -321,13 +321,13 @@
   }
 
   @Override
-  public void take(
+  public void handle(
       String from, String method, String path, byte[] bytes, Consumer<Response> respond) {
     if (terminated) {
       return;
     }
     if (hanging) {
-      deferredActions.add(() -> take(from, method, path, bytes, respond));
+      deferredActions.add(() -> handle(from, method, path, bytes, respond));
       return;
     }
     checkLease();
--- a/src/test/java/org/sandford/scenario/ScenarioScript.java
+++ b/src/test/java/org/sandford/scenario/ScenarioScript.java
@@ -160,7 +160,7 @@
 
   private void readTeam(Step line) {
     Settings.Team team =
-        Settings.Team.ofFacts(line.word(1), line.doubleAt(2), line.doubleAt(3), 0, 0);
+        Settings.Team.fromFacts(line.word(1), line.doubleAt(2), line.doubleAt(3), 0, 0);
     teams.put(team.name(), team);
   }
 
