--- a/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
+++ b/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
@@ -21,7 +21,9 @@
 
   /** The steps that start and end each fault that makes a machine unreachable. */
   private static final String[][] MACHINE_FAULTS = {
-    {"hang", "resume"}, {"mute", "unmute"}, {"deafen", "hears"}
+    {"hang", "resume"},
+    {"block_heartbeats", "unblock_heartbeats"},
+    {"drop_inbound", "restore_inbound"}
   };
 
   /** The controllers that may crash. */
@@ -53,12 +55,12 @@
   static List<String> generateWithFrequentPolls(long seed) {
     Random ownRandom = new Random(seed * FREQUENT_POLLS_SALT);
     List<String> lines = new ArrayList<>(generate(seed));
-    lines.add("at 2 close_looks on");
-    lines.add("at 2 slow_watches all " + (50 + ownRandom.nextInt(400)));
-    lines.add("at 2 slow_commits " + (50 + ownRandom.nextInt(400)));
+    lines.add("at 2 frequent_polls on");
+    lines.add("at 2 watch_delay all " + (50 + ownRandom.nextInt(400)));
+    lines.add("at 2 commit_delay " + (50 + ownRandom.nextInt(400)));
     lines.add("at 2 lost_answers " + ownRandom.nextInt(40));
-    lines.add("at " + FAULTS_UNTIL_S + " quick_watches");
-    lines.add("at " + FAULTS_UNTIL_S + " slow_commits 0");
+    lines.add("at " + FAULTS_UNTIL_S + " clear_watch_delays");
+    lines.add("at " + FAULTS_UNTIL_S + " commit_delay 0");
     lines.add("at " + FAULTS_UNTIL_S + " lost_answers 0");
     return sortedByTime(lines);
   }
@@ -226,7 +228,7 @@
   private void addFault(double at, double[] periods) {
     double lease = periods[1];
     switch (random.nextInt(16)) {
-      case 0 -> addFaultSteps(at, randomBetween(2, 20), "refuse leader", "admit refused");
+      case 0 -> addFaultSteps(at, randomBetween(2, 20), "refuse leader", "accept refused");
       case 1 ->
           addFaultSteps(
               at, randomBetween(5, periods[2] + 15), "outage store on", "outage store off");
@@ -243,11 +245,19 @@
       }
       case 6 -> {
         String machine = randomMachine();
-        addFaultSteps(at, randomBetween(3, lease + 20), "mute " + machine, "unmute " + machine);
+        addFaultSteps(
+            at,
+            randomBetween(3, lease + 20),
+            "block_heartbeats " + machine,
+            "unblock_heartbeats " + machine);
       }
       case 7 -> {
         String machine = randomMachine();
-        addFaultSteps(at, randomBetween(3, lease + 20), "deafen " + machine, "hears " + machine);
+        addFaultSteps(
+            at,
+            randomBetween(3, lease + 20),
+            "drop_inbound " + machine,
+            "restore_inbound " + machine);
       }
       case 8 -> {
         String machine = randomMachine();
@@ -261,11 +271,12 @@
           addFaultSteps(
               at,
               randomBetween(5, lease + 25),
-              "island " + (random.nextBoolean() ? "a" : "b"),
-              "mainland");
+              "isolate_zone " + (random.nextBoolean() ? "a" : "b"),
+              "rejoin_zone");
       case 10 -> addFaultSteps(at, randomBetween(10, 50), "late_writes 30", "late_writes 0");
-      case 11 -> addFaultSteps(at, randomBetween(10, 60), "late_reports on", "late_reports off");
-      case 12 -> addFaultSteps(at, randomBetween(10, 40), "slow_store 1000", "slow_store 0");
+      case 11 ->
+          addFaultSteps(at, randomBetween(10, 60), "late_heartbeats on", "late_heartbeats off");
+      case 12 -> addFaultSteps(at, randomBetween(10, 40), "answer_delay 1000", "answer_delay 0");
       case 13 -> {
         String c = "c" + random.nextInt(3);
         double length = randomBetween(4, periods[2]);
@@ -276,10 +287,9 @@
           }
         }
       }
-      case 14 ->
-          addFaultSteps(at, randomBetween(20, 60), "cancels_at_end on", "cancels_at_end off");
+      case 14 -> addFaultSteps(at, randomBetween(20, 60), "cancel_at_end on", "cancel_at_end off");
       default -> {
-        addFaultSteps(at, randomBetween(10, 60), "odd_requests on", "odd_requests off");
+        addFaultSteps(at, randomBetween(10, 60), "invalid_requests on", "invalid_requests off");
         addFaultSteps(at + 1, randomBetween(10, 60), "duplicates on 40", "duplicates off");
       }
     }
--- a/src/test/java/org/sandford/scenario/Scenario.java
+++ b/src/test/java/org/sandford/scenario/Scenario.java
@@ -59,7 +59,7 @@
         new ScenarioHosts(simulation, store, cloud, controllers, workers, this::absentWorker);
     steps = new ScenarioSteps(simulation, script, store, cloud, controllers, hosts, users);
     expectations = new ScenarioExpectations(cloud, store, rules, controllers, submittedJobs);
-    steps.register("count", step -> expectations.resetCounts());
+    steps.register("reset_counts", step -> expectations.resetCounts());
     steps.register("expect", expectations::check);
   }
 
--- a/src/test/java/org/sandford/scenario/ScenarioExpectations.java
+++ b/src/test/java/org/sandford/scenario/ScenarioExpectations.java
@@ -57,7 +57,7 @@
     values.put("machines", step -> cloud.machines.size());
     // Counts all machines that were ever rented.
     values.put("rented", step -> cloud.rentedCount());
-    // Counts work of all controllers since the last "count" step.
+    // Counts work of all controllers since the last "reset_counts" step.
     values.put("looks", step -> controllers.sum(MachineSnapshots::readCount) - snapshotReadsBefore);
     values.put(
         "views",
--- a/src/test/java/org/sandford/scenario/ScenarioSteps.java
+++ b/src/test/java/org/sandford/scenario/ScenarioSteps.java
@@ -58,10 +58,10 @@
     register("submit", step -> users.submit(step.word(1), options(step.words(), 2)));
     register("resubmit", step -> users.resubmit(step.word(1)));
     register("abort", step -> users.cancel(step.word(1), controllerOrAny(step, 2)));
-    register("ask", step -> users.poll(step.word(1), controllers.anyRunning()));
-    register("cancels_at_end", step -> users.setCancelAtEnd(step.isOn(1)));
-    register("close_looks", step -> users.setFrequentPolling(step.isOn(1)));
-    register("odd_requests", step -> users.setInvalidRequests(step.isOn(1)));
+    register("poll", step -> users.poll(step.word(1), controllers.anyRunning()));
+    register("cancel_at_end", step -> users.setCancelAtEnd(step.isOn(1)));
+    register("frequent_polls", step -> users.setFrequentPolling(step.isOn(1)));
+    register("invalid_requests", step -> users.setInvalidRequests(step.isOn(1)));
   }
 
   private void registerControllers() {
@@ -82,59 +82,62 @@
         step -> simulation.cut(hosts.host(step.word(1)), hosts.host(step.word(2)), cutKind(step)));
     register("heal", step -> simulation.heal(hosts.host(step.word(1)), hosts.host(step.word(2))));
     register(
-        "cut-zone",
+        "cut_zone",
         step ->
             hosts
                 .machinesInZone(step.word(1))
                 .forEach(host -> simulation.cut(host, "*", Simulation.Cut.HOLD)));
     register(
-        "heal-zone",
+        "heal_zone",
         step -> hosts.machinesInZone(step.word(1)).forEach(host -> simulation.heal(host, "*")));
     register(
-        "deafen", step -> simulation.cutOneWay("*", hosts.host(step.word(1)), Simulation.Cut.LOSE));
-    register("hears", step -> simulation.heal("*", hosts.host(step.word(1))));
-    register("island", step -> simulation.isolate(hosts.hostsInZone(step.word(1))));
-    register("mainland", step -> simulation.isolate(Set.of()));
-    register("slow_links", step -> simulation.messageDelayMs = step.intAt(1));
-    register("late_reports", step -> simulation.lateReports = step.isOn(1));
+        "drop_inbound",
+        step -> simulation.cutOneWay("*", hosts.host(step.word(1)), Simulation.Cut.LOSE));
+    register("restore_inbound", step -> simulation.heal("*", hosts.host(step.word(1))));
+    register("isolate_zone", step -> simulation.isolate(hosts.hostsInZone(step.word(1))));
+    register("rejoin_zone", step -> simulation.isolate(Set.of()));
+    register("message_delay", step -> simulation.messageDelayMs = step.intAt(1));
+    register("late_heartbeats", step -> simulation.lateReports = step.isOn(1));
     register("duplicates", this::duplicate);
   }
 
   private void registerStoreAndCloud() {
-    register("slow_store", step -> store.maxAnswerDelayMs = step.intAt(1));
+    register("answer_delay", step -> store.maxAnswerDelayMs = step.intAt(1));
     register("lower_limits", step -> store.setLimits(script.nextValueBytes, script.nextTxnOps));
     register("late_writes", step -> store.lateWritePercent = step.intAt(1));
     register("lost_answers", step -> store.lostAnswerPercent = step.intAt(1));
     register(
-        "slow_watches",
+        "watch_delay",
         step ->
             hosts
                 .controllers(step.word(1))
                 .forEach(label -> store.watchDelayMsByHost.put(label, step.intAt(2))));
-    register("quick_watches", step -> store.watchDelayMsByHost.clear());
-    register("slow_commits", step -> store.maxCommitDelayMs = step.intAt(1));
+    register("clear_watch_delays", step -> store.watchDelayMsByHost.clear());
+    register("commit_delay", step -> store.maxCommitDelayMs = step.intAt(1));
     register("refuse", this::refuse);
-    register("admit", step -> store.refusedHosts.remove(hostToAdmit(step)));
-    register("busy", step -> store.throttledHosts.add(step.word(1)));
-    register("idle", step -> store.throttledHosts.remove(step.word(1)));
+    register("accept", step -> store.refusedHosts.remove(hostToAccept(step)));
+    register("throttle", step -> store.throttledHosts.add(step.word(1)));
+    register("unthrottle", step -> store.throttledHosts.remove(step.word(1)));
     register("outage", this::outage);
     register("boots", step -> cloud.bootsDisabled = step.word(1).equals("never"));
   }
 
   private void registerMachines() {
-    register("mute", step -> hosts.worker(step.word(1)).reportsBlocked = true);
-    register("unmute", step -> hosts.worker(step.word(1)).reportsBlocked = false);
-    register("keep_report", step -> hosts.worker(step.word(1)).captureReport());
+    register("block_heartbeats", step -> hosts.worker(step.word(1)).reportsBlocked = true);
+    register("unblock_heartbeats", step -> hosts.worker(step.word(1)).reportsBlocked = false);
+    register("capture_heartbeat", step -> hosts.worker(step.word(1)).captureReport());
     register(
-        "deliver_report",
+        "deliver_heartbeat",
         step -> hosts.worker(step.word(1)).deliverCapturedReport(hosts.controller(step.word(2))));
     register("hang", this::hang);
     register(
         "resume", step -> (step.hasWord(1) ? hosts.worker(step.word(1)) : lastHung).hang(false));
-    register("die", step -> hosts.worker(step.word(1)).die());
-    register("faulty", step -> hosts.worker(step.word(1)).tasksFail = true);
-    register("notice", step -> hosts.worker(step.word(1)).noticeInterruption(step.doubleAt(2)));
-    register("take", step -> cloud.removeMachine(hosts.host(step.word(1))));
+    register("crash_machine", step -> hosts.worker(step.word(1)).die());
+    register("fail_tasks", step -> hosts.worker(step.word(1)).tasksFail = true);
+    register(
+        "interruption_notice",
+        step -> hosts.worker(step.word(1)).noticeInterruption(step.doubleAt(2)));
+    register("reclaim", step -> cloud.removeMachine(hosts.host(step.word(1))));
   }
 
   private String controllerOrAny(ScenarioScript.Step step, int index) {
@@ -158,7 +161,7 @@
     store.refusedHosts.add(lastRefused);
   }
 
-  private String hostToAdmit(ScenarioScript.Step step) {
+  private String hostToAccept(ScenarioScript.Step step) {
     return step.word(1).equals("refused") ? lastRefused : step.word(1);
   }
 
