--- a/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
+++ b/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
@@ -28,7 +28,7 @@
 
   /** The controllers that may crash. */
   private static final String[] CRASH_TARGETS = {
-    "owner:red", "owner:blue", "holder:m:0", "holder:m:1", "leader", "all"
+    "team_owner:red", "team_owner:blue", "machine_owner:m:0", "machine_owner:m:1", "leader", "all"
   };
 
   /** Keeps these random numbers independent of those that generate the base scenario. */
@@ -77,14 +77,15 @@
     double at = 12 + ownRandom.nextDouble() * 3;
     List<String> lines = new ArrayList<>();
     lines.add(
-        String.format(Locale.ROOT, "workers %.0f %.0f %.0f", periods[0], periods[1], periods[2]));
+        String.format(
+            Locale.ROOT, "worker_periods %.0f %.0f %.0f", periods[0], periods[1], periods[2]));
     lines.addAll(List.of("seed " + seed, "team red 8 8", "team blue 8 16", "machines 2"));
-    lines.addAll(List.of("pool 8", "until 260"));
+    lines.addAll(List.of("pool_size 8", "until 260"));
     lines.add(
         "at 3 submit wk-1 cpus="
             + (ownRandom.nextBoolean() ? "1 tasks=8" : "4 tasks=2")
-            + " run=300");
-    lines.add("at 3 submit wk-2 team=blue tasks=8 cpus=2 run=300");
+            + " run_s=300");
+    lines.add("at 3 submit wk-2 team=blue tasks=8 cpus=2 run_s=300");
     for (int machine = 0; machine < 1 + ownRandom.nextInt(3); machine++) {
       String[] fault = MACHINE_FAULTS[ownRandom.nextInt(MACHINE_FAULTS.length)];
       lines.add(formatStep(at + ownRandom.nextDouble(), fault[0] + " m:" + machine));
@@ -105,7 +106,7 @@
       String team = ownRandom.nextBoolean() ? "red" : "blue";
       String submit =
           "submit wk-1" + job + " team=" + team + " tasks=" + (1 + ownRandom.nextInt(4));
-      lines.add(formatStep(at + ownRandom.nextDouble() * 25, submit + " run=15"));
+      lines.add(formatStep(at + ownRandom.nextDouble() * 25, submit + " run_s=15"));
     }
     return sortedByTime(lines);
   }
@@ -129,11 +130,12 @@
     List<String> lines = new ArrayList<>();
     double[] periods = WORKER_PERIODS[random.nextInt(WORKER_PERIODS.length)];
     lines.add(
-        String.format(Locale.ROOT, "workers %.0f %.0f %.0f", periods[0], periods[1], periods[2]));
+        String.format(
+            Locale.ROOT, "worker_periods %.0f %.0f %.0f", periods[0], periods[1], periods[2]));
     machines = 2 + random.nextInt(2);
     lines.add("seed " + seed);
     lines.add("machines " + machines);
-    lines.add("pool " + (machines + random.nextInt(5)));
+    lines.add("pool_size " + (machines + random.nextInt(5)));
     lines.add("team red 8 " + (16 + 8 * random.nextInt(3)));
     lines.add("team blue 8 32");
     lines.add("until " + END_S);
@@ -176,10 +178,10 @@
           .append(2 + ownRandom.nextInt(4))
           .append(" cpus=")
           .append(1 + ownRandom.nextInt(2));
-      step.append(" run=")
+      step.append(" run_s=")
           .append(5 + ownRandom.nextInt(50))
           .append(ownRandom.nextBoolean() ? " together" : "");
-      step.append(ownRandom.nextBoolean() ? " save=10" : "")
+      step.append(ownRandom.nextBoolean() ? " checkpoint_interval_s=10" : "")
           .append(ownRandom.nextInt(3) == 0 ? " rank=urgent" : "");
       addStep(at, step.toString());
       if (ownRandom.nextInt(4) == 0) {
@@ -208,7 +210,7 @@
       step.append(" standing rank=production");
       step.append(random.nextBoolean() ? " scatter" : " together");
     } else {
-      step.append(" run=")
+      step.append(" run_s=")
           .append(2 + random.nextInt(20))
           .append('/')
           .append(5 + random.nextInt(90));
--- a/src/test/java/org/sandford/scenario/Rules.java
+++ b/src/test/java/org/sandford/scenario/Rules.java
@@ -321,6 +321,6 @@
   }
 
   String reportedStatus(String id) {
-    return reportedStatuses.getOrDefault(id, "nothing");
+    return reportedStatuses.getOrDefault(id, "none");
   }
 }
--- a/src/test/java/org/sandford/scenario/ScenarioExpectations.java
+++ b/src/test/java/org/sandford/scenario/ScenarioExpectations.java
@@ -50,24 +50,26 @@
   }
 
   private void registerValues() {
-    values.put("told", step -> rules.reportedStatus(step.word(2)));
-    values.put("answer", step -> job(step).submissionStatus);
+    values.put("reported", step -> rules.reportedStatus(step.word(2)));
+    values.put("submission_status", step -> job(step).submissionStatus);
     values.put("running", step -> countRunningTasks(step.word(2)));
     values.put("started", step -> rules.startCount);
     values.put("machines", step -> cloud.machines.size());
     // Counts all machines that were ever rented.
     values.put("rented", step -> cloud.rentedCount());
     // Counts work of all controllers since the last "reset_counts" step.
-    values.put("looks", step -> controllers.sum(MachineSnapshots::readCount) - snapshotReadsBefore);
     values.put(
-        "views",
+        "snapshot_reads",
+        step -> controllers.sum(MachineSnapshots::readCount) - snapshotReadsBefore);
+    values.put(
+        "snapshots_received",
         step -> controllers.sum(MachineSnapshots::receivedCount) - snapshotsReceivedBefore);
     values.put("map_writes", step -> store.assignmentMapWrites - assignmentMapWritesBefore);
-    values.put("began", step -> secondsUntilStarted(job(step)));
+    values.put("start_delay_s", step -> secondsUntilStarted(job(step)));
     values.put("gang_runs", step -> job(step).gangRuns);
     values.put("orderly_stops", step -> job(step).orderlyStops);
     values.put("lost_with_lease", step -> rules.lostWithLease);
-    values.put("stored", step -> store.containsKey(step.word(2)));
+    values.put("key_stored", step -> store.containsKey(step.word(2)));
   }
 
   void check(ScenarioScript.Step step) {
--- a/src/test/java/org/sandford/scenario/ScenarioHosts.java
+++ b/src/test/java/org/sandford/scenario/ScenarioHosts.java
@@ -51,18 +51,18 @@
   }
 
   /**
-   * Returns a controller's label. {@code leader} is the present leader, {@code owner:red} the owner
-   * of the team and {@code holder:m:1} the owner of the machine, all as stored; if that one does
-   * not run, any running controller is returned.
+   * Returns a controller's label. {@code leader} is the present leader, {@code team_owner:red} the
+   * owner of the team and {@code machine_owner:m:1} the owner of the machine, all as stored; if
+   * that one does not run, any running controller is returned.
    */
   String controller(String word) {
     String id;
     if (word.equals("leader")) {
       id = textField(store.value("c/leader"), "id");
-    } else if (word.startsWith("owner:")) {
-      id = teamOwner(word.substring("owner:".length()));
-    } else if (word.startsWith("holder:")) {
-      id = machineOwner(host(word.substring("holder:".length())));
+    } else if (word.startsWith("team_owner:")) {
+      id = teamOwner(word.substring("team_owner:".length()));
+    } else if (word.startsWith("machine_owner:")) {
+      id = machineOwner(host(word.substring("machine_owner:".length())));
     } else {
       return word;
     }
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Returns a host's name. {@code of:wk-1/0} is the machine that runs the task. {@code m:2} is the
-   * third machine that was up when the word was first used, and keeps that meaning.
+   * Returns a host's name. {@code machine_of:wk-1/0} is the machine that runs the task. {@code m:2}
+   * is the third machine that was up when the word was first used, and keeps that meaning.
    */
   String host(String word) {
     if (word.startsWith("m:")) {
@@ -125,18 +125,22 @@
                 : candidates.get(Integer.parseInt(w.substring(2)) % candidates.size());
           });
     }
-    if (!word.startsWith("of:")) {
+    if (!word.startsWith("machine_of:")) {
       return word;
     }
     for (FakeCloud.Rented m : cloud.machines.values()) {
       if (m.worker != null
           && m.worker.tasks.values().stream()
-              .anyMatch(t -> !t.isEnded() && t.piece.equals(word.substring(3)))) {
+              .anyMatch(
+                  t -> !t.isEnded() && t.piece.equals(word.substring("machine_of:".length())))) {
         return m.name;
       }
     }
     throw new IllegalStateException(
-        "no machine runs " + word.substring(3) + " at " + simulation.seconds());
+        "no machine runs "
+            + word.substring("machine_of:".length())
+            + " at "
+            + simulation.seconds());
   }
 
   /**
--- a/src/test/java/org/sandford/scenario/ScenarioScript.java
+++ b/src/test/java/org/sandford/scenario/ScenarioScript.java
@@ -99,14 +99,14 @@
   }
 
   /**
-   * Returns the periods of heartbeats, leases and cancellations of each {@code workers} line, or
-   * the default ones.
+   * Returns the periods of heartbeats, leases and cancellations of each {@code worker_periods}
+   * line, or the default ones.
    */
   static List<double[]> workerPeriods(List<String> lines) {
     List<double[]> out = new ArrayList<>();
     for (String line : lines) {
       String[] words = line.trim().split("\\s+", -1);
-      if (words[0].equals("workers")) {
+      if (words[0].equals("worker_periods")) {
         out.add(
             new double[] {
               Double.parseDouble(words[1]),
@@ -121,15 +121,15 @@
   private void registerSettings() {
     settings.put("seed", line -> seed = Long.parseLong(line.word(1)));
     settings.put("controllers", line -> controllers = line.intAt(1));
-    settings.put("pool", line -> poolSize = line.intAt(1));
-    settings.put("workers", line -> {}); // Read by workerPeriods().
+    settings.put("pool_size", line -> poolSize = line.intAt(1));
+    settings.put("worker_periods", line -> {}); // Read by workerPeriods().
     settings.put("machines", line -> machinesAtStart = line.intAt(1));
     settings.put("value_bytes", line -> valueBytes = line.intAt(1));
     settings.put("next_limits", this::readNextLimits);
-    settings.put("begins_old", line -> startsWithProductionVersion = true);
+    settings.put("start_with_production", line -> startsWithProductionVersion = true);
     settings.put("txn_ops", line -> txnOps = line.intAt(1));
     settings.put("write_rps", line -> writeRps = line.doubleAt(1));
-    settings.put("gang_times", this::readGangTimes);
+    settings.put("gang_timeouts", this::readGangTimeouts);
     settings.put("until", line -> endS = line.doubleAt(1));
     settings.put("team", this::readTeam);
   }
@@ -153,7 +153,7 @@
     nextTxnOps = line.intAt(2);
   }
 
-  private void readGangTimes(Step line) {
+  private void readGangTimeouts(Step line) {
     gangWaitS = line.doubleAt(1);
     gangPeerS = line.doubleAt(2);
   }
--- a/src/test/java/org/sandford/scenario/ScenarioTest.java
+++ b/src/test/java/org/sandford/scenario/ScenarioTest.java
@@ -27,7 +27,7 @@
     return files.stream().flatMap(ScenarioTest::plays);
   }
 
-  /** Returns one test for each {@code workers} line of the file. */
+  /** Returns one test for each {@code worker_periods} line of the file. */
   private static Stream<DynamicTest> plays(Path file) {
     try {
       String name = file.getFileName().toString();
--- a/src/test/java/org/sandford/scenario/ScenarioUsers.java
+++ b/src/test/java/org/sandford/scenario/ScenarioUsers.java
@@ -126,7 +126,7 @@
     job.tasks = Integer.parseInt(options.getOrDefault("tasks", "1"));
     job.cpus = Double.parseDouble(options.getOrDefault("cpus", "1"));
     job.ramGb = Double.parseDouble(options.getOrDefault("ram", "1"));
-    for (String run : options.getOrDefault("run", "5").split("/", -1)) {
+    for (String run : options.getOrDefault("run_s", "5").split("/", -1)) {
       job.taskRunTimesS.add(Double.parseDouble(run));
     }
     job.runS = job.taskRunTimesS.get(job.taskRunTimesS.size() - 1);
@@ -136,7 +136,8 @@
     job.sameZone = options.containsKey("together");
     job.tasksFail = options.containsKey("fails");
     job.zone = options.getOrDefault("zone", "");
-    job.checkpointIntervalS = Double.parseDouble(options.getOrDefault("save", "0"));
+    job.checkpointIntervalS =
+        Double.parseDouble(options.getOrDefault("checkpoint_interval_s", "0"));
     job.submittedAt = simulation.now();
     submittedJobs.put(id, job);
     sendSubmission(job, job.team, simulation.now());
