--- a/src/test/java/org/sandford/scenario/FakeCloud.java
+++ b/src/test/java/org/sandford/scenario/FakeCloud.java
@@ -11,14 +11,14 @@
 
 /** Simulates the cloud: one machine type, a pool in each zone, a listing that lags by 5 s. */
 final class FakeCloud implements FakeServer {
-  static final class Rented {
+  static final class RentedMachine {
     final String name;
     final String zone;
     final boolean spot;
     final long rentedAt;
     FakeWorker worker;
 
-    Rented(String name, String zone, boolean spot, long rentedAt) {
+    RentedMachine(String name, String zone, boolean spot, long rentedAt) {
       this.name = name;
       this.zone = zone;
       this.spot = spot;
@@ -28,7 +28,7 @@
 
   private final Simulation simulation;
   private final Scenario scenario;
-  final Map<String, Rented> machines = new LinkedHashMap<>();
+  final Map<String, RentedMachine> machines = new LinkedHashMap<>();
   private final Map<String, ArrayNode> hostsByRequest = new HashMap<>();
   private int rentedCount;
   boolean outage;
@@ -39,9 +39,9 @@
     this.scenario = scenario;
   }
 
-  Rented rent(String zone, boolean spot, double bootS) {
-    Rented machine =
-        new Rented(String.format("n-%06d", rentedCount++), zone, spot, simulation.now());
+  RentedMachine rent(String zone, boolean spot, double bootS) {
+    RentedMachine machine =
+        new RentedMachine(String.format("n-%06d", rentedCount++), zone, spot, simulation.now());
     machines.put(machine.name, machine);
     if (!bootsDisabled) {
       simulation.after(
@@ -60,7 +60,7 @@
   }
 
   void removeMachine(String name) {
-    Rented machine = machines.remove(name);
+    RentedMachine machine = machines.remove(name);
     if (machine != null && machine.worker != null) {
       machine.worker.destroy();
     }
@@ -123,7 +123,7 @@
     } else {
       ObjectNode answer = Json.object().put("more", false);
       ArrayNode hosts = answer.putArray("hosts");
-      for (Rented machine : machines.values()) {
+      for (RentedMachine machine : machines.values()) {
         if (simulation.now() - machine.rentedAt > 5_000 * Simulation.MS) {
           ObjectNode host =
               hosts.addObject().put("name_id", machine.name).put("addr", machine.name + ":90");
--- a/src/test/java/org/sandford/scenario/FakeGang.java
+++ b/src/test/java/org/sandford/scenario/FakeGang.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.sandford.scenario.FakeWorker.Held;
+import org.sandford.scenario.FakeWorker.WorkerTask;
 
 /**
  * Simulates one attempt of a gang as the protocol describes it: its tasks start together, complete
@@ -26,9 +26,9 @@
   private final UserJob job;
 
   /** The tasks that have joined, each with its worker. */
-  private final Map<Held, FakeWorker> members = new HashMap<>();
+  private final Map<WorkerTask, FakeWorker> members = new HashMap<>();
 
-  private final List<Held> stopRequested = new ArrayList<>();
+  private final List<WorkerTask> stopRequested = new ArrayList<>();
   private Phase phase = Phase.GATHERING;
   private long runningSince;
   private double progressAtStart;
@@ -40,7 +40,7 @@
   }
 
   /** Adds a task that has its image; the last one to join starts all. */
-  void join(FakeWorker worker, Held task) {
+  void join(FakeWorker worker, WorkerTask task) {
     if (phase != Phase.GATHERING) {
       // The attempt has already started or failed, so the task waits until it times out.
       simulation.after(
@@ -92,7 +92,7 @@
   }
 
   /** Removes a task that ended or was lost with its machine or lease. */
-  void remove(Held task) {
+  void remove(WorkerTask task) {
     if (members.remove(task) == null) {
       return;
     }
@@ -130,7 +130,7 @@
    * Requests a task to stop. Returns true if it runs on until all tasks have been requested to stop
    * and have saved, and false if it has to end at once.
    */
-  boolean requestStop(Held task, double graceS) {
+  boolean requestStop(WorkerTask task, double graceS) {
     boolean canSave =
         (phase == Phase.RUNNING || phase == Phase.STOPPING)
             && job.checkpointIntervalS > 0
--- a/src/test/java/org/sandford/scenario/FakeWorker.java
+++ b/src/test/java/org/sandford/scenario/FakeWorker.java
@@ -12,7 +12,7 @@
 
 /** Simulates a worker by its published protocol: reports, commands, fences, lease and tasks. */
 final class FakeWorker implements FakeServer {
-  static final class Held {
+  static final class WorkerTask {
     final String piece;
     final long attempt;
     final UserJob job;
@@ -20,7 +20,7 @@
     String status = "pulling";
     String cause;
 
-    Held(String piece, long attempt, UserJob job) {
+    WorkerTask(String piece, long attempt, UserJob job) {
       this.piece = piece;
       this.attempt = attempt;
       this.job = job;
@@ -38,8 +38,8 @@
 
   private final Simulation simulation;
   private final Scenario scenario;
-  final FakeCloud.Rented machine;
-  final Map<String, Held> tasks = new LinkedHashMap<>();
+  final FakeCloud.RentedMachine machine;
+  final Map<String, WorkerTask> tasks = new LinkedHashMap<>();
   private final List<Runnable> deferredActions = new ArrayList<>();
   private long tenure = 1;
   private long serial;
@@ -60,7 +60,7 @@
 
   private Double interruptionNoticeS;
 
-  FakeWorker(Simulation simulation, Scenario scenario, FakeCloud.Rented machine) {
+  FakeWorker(Simulation simulation, Scenario scenario, FakeCloud.RentedMachine machine) {
     this.simulation = simulation;
     this.scenario = scenario;
     this.machine = machine;
@@ -71,14 +71,14 @@
   }
 
   private void removeAllTasks() {
-    List<Held> removed = new ArrayList<>(tasks.values());
+    List<WorkerTask> removed = new ArrayList<>(tasks.values());
     tasks.clear();
     removed.stream()
         .filter(task -> task.job != null && task.job.gang)
         .forEach(this::removeFromGang);
   }
 
-  private void removeFromGang(Held task) {
+  private void removeFromGang(WorkerTask task) {
     scenario.gangOf(task).remove(task);
   }
 
@@ -87,13 +87,13 @@
   }
 
   /** Marks a task as running once all tasks of its gang have joined. */
-  void startRunning(Held task) {
+  void startRunning(WorkerTask task) {
     task.status = "running";
     scheduleReport();
   }
 
   /** Ends the task if the worker still has it in this status. */
-  void endIfInStatus(Held task, String status, String cause) {
+  void endIfInStatus(WorkerTask task, String status, String cause) {
     if (!terminated && tasks.containsValue(task) && task.status.equals(status)) {
       if (hanging) {
         deferredActions.add(() -> endIfInStatus(task, status, cause));
@@ -187,7 +187,7 @@
       body.put("warning_s", interruptionNoticeS);
     }
     ArrayNode pieces = body.putArray("pieces");
-    for (Held task : tasks.values()) {
+    for (WorkerTask task : tasks.values()) {
       ObjectNode piece =
           pieces
               .addObject()
@@ -257,7 +257,7 @@
     if (server == null || simulation.isDead(to) || reportsBlocked) {
       simulation.after(1, () -> answered.accept(new Response(0, Json.object())));
     } else {
-      simulation.carry(
+      simulation.deliver(
           machine.name,
           to,
           () -> {
@@ -269,7 +269,7 @@
                   Json.bytes(body),
                   response -> {
                     scenario.rules.checkOrders(response.body().path("orders"));
-                    simulation.carry(
+                    simulation.deliver(
                         to,
                         machine.name,
                         () -> {
@@ -354,7 +354,7 @@
       String piece = order.path("piece").asText();
       long attempt = order.path("try").asLong();
       String key = piece + "@" + attempt;
-      Held known = tasks.get(key);
+      WorkerTask known = tasks.get(key);
       switch (order.path("verb").asText()) {
         case "start" -> {
           if (known == null) {
@@ -379,7 +379,7 @@
 
   private void start(String piece, long attempt, String key) {
     UserJob job = scenario.submittedJobs.get(piece.substring(0, piece.indexOf('/')));
-    Held task = new Held(piece, attempt, job);
+    WorkerTask task = new WorkerTask(piece, attempt, job);
     tasks.put(key, task);
     scheduleReport();
     if (job == null) {
@@ -403,11 +403,11 @@
     simulation.after(200, () -> run(task, key));
   }
 
-  private boolean stillHas(Held task, String key) {
+  private boolean stillHas(WorkerTask task, String key) {
     return !terminated && tasks.get(key) == task;
   }
 
-  private void run(Held task, String key) {
+  private void run(WorkerTask task, String key) {
     if (!stillHas(task, key) || !task.status.equals("pulling")) {
       return;
     }
@@ -433,7 +433,7 @@
     }
   }
 
-  private void finish(Held task, String key) {
+  private void finish(WorkerTask task, String key) {
     if (stillHas(task, key) && task.status.equals("running")) {
       if (hanging) {
         deferredActions.add(() -> finish(task, key));
@@ -447,13 +447,13 @@
     }
   }
 
-  private void stop(Held task, double graceS) {
+  private void stop(WorkerTask task, double graceS) {
     if (task.job == null || !task.job.gang || !scenario.gangOf(task).requestStop(task, graceS)) {
       end(task, "stopped");
     }
   }
 
-  private void end(Held task, String cause) {
+  private void end(WorkerTask task, String cause) {
     task.status = "ended";
     task.cause = cause;
     scheduleReport();
--- a/src/test/java/org/sandford/scenario/TroubleWatch.java
+++ b/src/test/java/org/sandford/scenario/FaultMonitor.java
@@ -1,7 +1,7 @@
 package org.sandford.scenario;
 
 /** Records when the cluster last had a fault: now, or the time at which the last one ended. */
-final class TroubleWatch {
+final class FaultMonitor {
   private static final int CHECK_INTERVAL_MS = 500;
 
   private final Simulation simulation;
@@ -10,7 +10,7 @@
   private final FakeCloud cloud;
   private long lastFaultAt;
 
-  TroubleWatch(
+  FaultMonitor(
       Simulation simulation, SimulatedControllers controllers, FakeStore store, FakeCloud cloud) {
     this.simulation = simulation;
     this.controllers = controllers;
@@ -43,7 +43,7 @@
         || controllers.anyFrozen()
         || store.hasFault()
         || cloud.outage
-        || simulation.duplicates
+        || simulation.duplicateRequests
         || simulation.lateReports
         || simulation.messageDelayMs > 0
         || cloud.machines.values().stream()
--- a/src/test/java/org/sandford/scenario/FreeCapacity.java
+++ b/src/test/java/org/sandford/scenario/FreeCapacity.java
@@ -30,9 +30,11 @@
     Set<String> placed = new HashSet<>();
     Map<String, Integer> placedByZone = new HashMap<>();
     double teamCpus = 0;
-    for (FakeCloud.Rented machine : cloud.machines.values()) {
-      for (FakeWorker.Held task :
-          machine.worker == null ? List.<FakeWorker.Held>of() : machine.worker.tasks.values()) {
+    for (FakeCloud.RentedMachine machine : cloud.machines.values()) {
+      for (FakeWorker.WorkerTask task :
+          machine.worker == null
+              ? List.<FakeWorker.WorkerTask>of()
+              : machine.worker.tasks.values()) {
         if (!task.isEnded() && task.job != null) {
           teamCpus += task.job.team.equals(job.team) ? task.job.cpus : 0;
           if (task.job == job) {
@@ -47,7 +49,7 @@
     if (placedOrFinished.size() >= job.tasks || teamCpus + job.cpus > teamMaxCpus.get(job.team)) {
       return false;
     }
-    for (FakeCloud.Rented machine : cloud.machines.values()) {
+    for (FakeCloud.RentedMachine machine : cloud.machines.values()) {
       boolean allowed =
           machine.worker != null
               && machine.worker.isUsable()
@@ -78,12 +80,12 @@
     Map<String, Integer> slotsByZone = new HashMap<>();
     double teamCpus = 0;
     int runningTasks = 0;
-    for (FakeCloud.Rented machine : cloud.machines.values()) {
+    for (FakeCloud.RentedMachine machine : cloud.machines.values()) {
       if (machine.worker == null) {
         continue;
       }
       double usedCpus = 0;
-      for (FakeWorker.Held task : machine.worker.tasks.values()) {
+      for (FakeWorker.WorkerTask task : machine.worker.tasks.values()) {
         if (task.isEnded() || task.job == null) {
           continue;
         }
--- a/src/test/java/org/sandford/scenario/Rules.java
+++ b/src/test/java/org/sandford/scenario/Rules.java
@@ -33,23 +33,23 @@
   Rules(Simulation simulation, Scenario scenario) {
     this.simulation = simulation;
     this.scenario = scenario;
-    simulation.ordersSent = this::checkOrders;
+    simulation.ordersSentListener = this::checkOrders;
     checkPeriodically();
   }
 
   /** Checks duplicates, placement, quota and cancellation when a task starts on a machine. */
-  void checkStart(FakeWorker worker, FakeWorker.Held task) {
+  void checkStart(FakeWorker worker, FakeWorker.WorkerTask task) {
     startCount++;
     if (task.job.firstStartAt < 0 && !task.job.gang) {
       task.job.firstStartAt = simulation.now();
     }
     double teamCpus = task.job.cpus;
     int inZone = 1;
-    for (FakeCloud.Rented machine : scenario.cloud.machines.values()) {
+    for (FakeCloud.RentedMachine machine : scenario.cloud.machines.values()) {
       if (machine.worker == null) {
         continue;
       }
-      for (FakeWorker.Held other : machine.worker.tasks.values()) {
+      for (FakeWorker.WorkerTask other : machine.worker.tasks.values()) {
         if (!other.isActive() || other == task) {
           continue;
         }
@@ -94,7 +94,7 @@
   }
 
   /** Checks that all tasks are present when the last one has its image and the gang starts. */
-  void checkGangStart(UserJob job, Map<FakeWorker.Held, FakeWorker> members) {
+  void checkGangStart(UserJob job, Map<FakeWorker.WorkerTask, FakeWorker> members) {
     if (job.firstStartAt < 0) {
       job.firstStartAt = simulation.now();
     }
@@ -125,7 +125,7 @@
     }
   }
 
-  private void checkNotCancelled(FakeWorker.Held task, String action) {
+  private void checkNotCancelled(FakeWorker.WorkerTask task, String action) {
     UserJob job = task.job;
     if (job.cancelConfirmedAt > 0
         && simulation.now() - job.cancelConfirmedAt > scenario.script.cancelS * 1e9) {
@@ -141,10 +141,10 @@
   }
 
   private void checkPeriodically() {
-    for (FakeCloud.Rented machine : scenario.cloud.machines.values()) {
+    for (FakeCloud.RentedMachine machine : scenario.cloud.machines.values()) {
       if (machine.worker != null) {
         machine.worker.tasks.values().stream()
-            .filter(FakeWorker.Held::isActive)
+            .filter(FakeWorker.WorkerTask::isActive)
             .forEach(t -> checkNotCancelled(t, "is on its machine"));
       }
     }
--- a/src/test/java/org/sandford/scenario/RulesTest.java
+++ b/src/test/java/org/sandford/scenario/RulesTest.java
@@ -25,13 +25,13 @@
   }
 
   private FakeWorker rentMachine(String zone, boolean spot) {
-    FakeCloud.Rented rented = scenario.cloud.rent(zone, spot, 0);
+    FakeCloud.RentedMachine rented = scenario.cloud.rent(zone, spot, 0);
     simulation.runUntil(simulation.seconds());
     return rented.worker;
   }
 
-  private FakeWorker.Held startTask(FakeWorker worker, UserJob job, int number) {
-    FakeWorker.Held task = new FakeWorker.Held(job.id + "/" + number, 1, job);
+  private FakeWorker.WorkerTask startTask(FakeWorker worker, UserJob job, int number) {
+    FakeWorker.WorkerTask task = new FakeWorker.WorkerTask(job.id + "/" + number, 1, job);
     worker.tasks.put(task.piece + "@1", task);
     rules.checkStart(worker, task);
     task.status = "running";
@@ -102,9 +102,9 @@
     gang.gang = true;
     gang.tasks = 2;
     FakeWorker machine = rentMachine("a", false);
-    FakeWorker.Held first = new FakeWorker.Held("wk-1/0", 1, gang);
-    FakeWorker.Held duplicate = new FakeWorker.Held("wk-1/0", 1, gang);
-    FakeWorker.Held second = new FakeWorker.Held("wk-1/1", 1, gang);
+    FakeWorker.WorkerTask first = new FakeWorker.WorkerTask("wk-1/0", 1, gang);
+    FakeWorker.WorkerTask duplicate = new FakeWorker.WorkerTask("wk-1/0", 1, gang);
+    FakeWorker.WorkerTask second = new FakeWorker.WorkerTask("wk-1/1", 1, gang);
     rules.checkGangStart(gang, Map.of(first, machine, second, machine));
     assertViolations();
     rules.checkGangStart(gang, Map.of(first, machine, duplicate, machine));
--- a/src/test/java/org/sandford/scenario/Scenario.java
+++ b/src/test/java/org/sandford/scenario/Scenario.java
@@ -33,7 +33,7 @@
   private final ScenarioUsers users;
   private final ScenarioSteps steps;
   private final ScenarioExpectations expectations;
-  private final TroubleWatch faultMonitor;
+  private final FaultMonitor faultMonitor;
   private final FreeCapacity freeCapacity;
   private final Map<String, FakeWorker> workers = new HashMap<>();
   private final Map<GangAttempt, FakeGang> gangs = new HashMap<>();
@@ -53,7 +53,7 @@
     servers.put("cloud", cloud);
     freeCapacity = new FreeCapacity(cloud, teamMaxCpus);
     controllers = new SimulatedControllers(simulation, script, store, servers, zones);
-    faultMonitor = new TroubleWatch(simulation, controllers, store, cloud);
+    faultMonitor = new FaultMonitor(simulation, controllers, store, cloud);
     users = new ScenarioUsers(simulation, servers, submittedJobs, controllers, rules, faultMonitor);
     ScenarioHosts hosts =
         new ScenarioHosts(simulation, store, cloud, controllers, workers, this::absentWorker);
@@ -83,7 +83,7 @@
     return failures;
   }
 
-  FakeWorker bootWorker(FakeCloud.Rented machine) {
+  FakeWorker bootWorker(FakeCloud.RentedMachine machine) {
     FakeWorker worker = new FakeWorker(simulation, this, machine);
     servers.put(machine.name, worker);
     workers.put(machine.name, worker);
@@ -92,11 +92,13 @@
 
   private FakeWorker absentWorker(String machine) {
     return new FakeWorker(
-        simulation, this, new FakeCloud.Rented(machine, zones.get(0), false, simulation.now()));
+        simulation,
+        this,
+        new FakeCloud.RentedMachine(machine, zones.get(0), false, simulation.now()));
   }
 
   /** Returns the gang attempt that the task belongs to. */
-  FakeGang gangOf(FakeWorker.Held task) {
+  FakeGang gangOf(FakeWorker.WorkerTask task) {
     return gangs.computeIfAbsent(
         new GangAttempt(task.job.id, task.attempt),
         attempt -> new FakeGang(simulation, this, task.job));
--- a/src/test/java/org/sandford/scenario/ScenarioHosts.java
+++ b/src/test/java/org/sandford/scenario/ScenarioHosts.java
@@ -128,7 +128,7 @@
     if (!word.startsWith("machine_of:")) {
       return word;
     }
-    for (FakeCloud.Rented m : cloud.machines.values()) {
+    for (FakeCloud.RentedMachine m : cloud.machines.values()) {
       if (m.worker != null
           && m.worker.tasks.values().stream()
               .anyMatch(
--- a/src/test/java/org/sandford/scenario/ScenarioSteps.java
+++ b/src/test/java/org/sandford/scenario/ScenarioSteps.java
@@ -79,20 +79,20 @@
   private void registerNetwork() {
     register(
         "cut",
-        step -> simulation.cut(hosts.host(step.word(1)), hosts.host(step.word(2)), cutKind(step)));
+        step -> simulation.cut(hosts.host(step.word(1)), hosts.host(step.word(2)), cutMode(step)));
     register("heal", step -> simulation.heal(hosts.host(step.word(1)), hosts.host(step.word(2))));
     register(
         "cut_zone",
         step ->
             hosts
                 .machinesInZone(step.word(1))
-                .forEach(host -> simulation.cut(host, "*", Simulation.Cut.HOLD)));
+                .forEach(host -> simulation.cut(host, "*", Simulation.CutMode.HOLD)));
     register(
         "heal_zone",
         step -> hosts.machinesInZone(step.word(1)).forEach(host -> simulation.heal(host, "*")));
     register(
         "drop_inbound",
-        step -> simulation.cutOneWay("*", hosts.host(step.word(1)), Simulation.Cut.LOSE));
+        step -> simulation.cutOneWay("*", hosts.host(step.word(1)), Simulation.CutMode.LOSE));
     register("restore_inbound", step -> simulation.heal("*", hosts.host(step.word(1))));
     register("isolate_zone", step -> simulation.isolate(hosts.hostsInZone(step.word(1))));
     register("rejoin_zone", step -> simulation.isolate(Set.of()));
@@ -144,15 +144,15 @@
     return step.hasWord(index) ? hosts.controller(step.word(index)) : controllers.anyRunning();
   }
 
-  private static Simulation.Cut cutKind(ScenarioScript.Step step) {
+  private static Simulation.CutMode cutMode(ScenarioScript.Step step) {
     boolean losesMessages = step.hasWord(3) && step.word(3).equals("lose");
-    return losesMessages ? Simulation.Cut.LOSE : Simulation.Cut.HOLD;
+    return losesMessages ? Simulation.CutMode.LOSE : Simulation.CutMode.HOLD;
   }
 
   private void duplicate(ScenarioScript.Step step) {
-    simulation.duplicates = step.isOn(1);
+    simulation.duplicateRequests = step.isOn(1);
     if (step.hasWord(2)) {
-      simulation.duplicatesLateMs = step.intAt(2) * 1_000;
+      simulation.maxDuplicateDelayMs = step.intAt(2) * 1_000;
     }
   }
 
--- a/src/test/java/org/sandford/scenario/ScenarioUsers.java
+++ b/src/test/java/org/sandford/scenario/ScenarioUsers.java
@@ -27,7 +27,7 @@
   private final Map<String, UserJob> submittedJobs;
   private final SimulatedControllers controllers;
   private final Rules rules;
-  private final TroubleWatch faultMonitor;
+  private final FaultMonitor faultMonitor;
 
   /** Whether users cancel, poll and resubmit a job when its last task ends. */
   private boolean cancelsAtEnd;
@@ -44,7 +44,7 @@
       Map<String, UserJob> submittedJobs,
       SimulatedControllers controllers,
       Rules rules,
-      TroubleWatch faultMonitor) {
+      FaultMonitor faultMonitor) {
     this.simulation = simulation;
     this.servers = servers;
     this.submittedJobs = submittedJobs;
@@ -183,7 +183,7 @@
       return;
     }
     simulation.after(timeoutMs, () -> once.answer(0, Json.object()));
-    simulation.carry(
+    simulation.deliver(
         "users",
         to,
         () ->
@@ -193,7 +193,7 @@
                 path,
                 body,
                 response ->
-                    simulation.carry(
+                    simulation.deliver(
                         to, "users", () -> once.answer(response.status(), response.body()))));
   }
 
--- a/src/test/java/org/sandford/scenario/SimulatedHttpTransport.java
+++ b/src/test/java/org/sandford/scenario/SimulatedHttpTransport.java
@@ -35,7 +35,7 @@
       long timeoutMs,
       Consumer<Reply> done) {
     if (path.equals("/commands")) {
-      simulation.ordersSent.accept(Json.read(body).path("orders"));
+      simulation.ordersSentListener.accept(Json.read(body).path("orders"));
     }
     String target = address.substring(0, address.indexOf(':'));
     boolean[] over = {false};
@@ -51,12 +51,12 @@
       loop.after(1, () -> once.accept(new Reply(Reply.NOT_SENT, new byte[0])));
       return;
     }
-    if (simulation.duplicates && simulation.random.nextInt(10) == 0) {
+    if (simulation.duplicateRequests && simulation.random.nextInt(10) == 0) {
       // A late copy: it is carried out once more, and its answer goes nowhere.
       simulation.after(
-          simulation.random.nextInt(simulation.duplicatesLateMs),
+          simulation.random.nextInt(simulation.maxDuplicateDelayMs),
           () ->
-              simulation.carry(
+              simulation.deliver(
                   host,
                   target,
                   () -> {
@@ -67,7 +67,7 @@
                   }));
     }
     loop.after(timeoutMs, () -> once.accept(new Reply(Reply.UNKNOWN, new byte[0])));
-    simulation.carry(
+    simulation.deliver(
         host,
         target,
         () -> {
@@ -80,7 +80,7 @@
               path,
               body == null ? new byte[0] : body,
               response ->
-                  simulation.carry(
+                  simulation.deliver(
                       target,
                       host,
                       () ->
--- a/src/test/java/org/sandford/scenario/SimulatedPeerTransport.java
+++ b/src/test/java/org/sandford/scenario/SimulatedPeerTransport.java
@@ -40,20 +40,20 @@
       loop.after(2, () -> handler.closed(null));
       return;
     }
-    End near = new End(this, target, handler);
-    End far = new End(peer, host, peer.listener.get());
+    ConnectionEnd near = new ConnectionEnd(this, target, handler);
+    ConnectionEnd far = new ConnectionEnd(peer, host, peer.listener.get());
     near.other = far;
     far.other = near;
-    simulation.carry(
+    simulation.deliver(
         host,
         target,
         () -> {
           if (!peer.loop.alive) {
-            near.ended();
+            near.remoteClosed();
             return;
           }
           peer.loop.whenAwake(() -> far.handler.opened(far));
-          simulation.carry(
+          simulation.deliver(
               target,
               host,
               () -> {
@@ -68,14 +68,14 @@
   }
 
   /** One end of a connection. */
-  private static final class End implements Connection {
+  private static final class ConnectionEnd implements Connection {
     private final SimulatedPeerTransport owner;
     private final String remote;
     private final Handler handler;
-    private End other;
+    private ConnectionEnd other;
     private boolean open = true;
 
-    End(SimulatedPeerTransport owner, String remote, Handler handler) {
+    ConnectionEnd(SimulatedPeerTransport owner, String remote, Handler handler) {
       this.owner = owner;
       this.remote = remote;
       this.handler = handler;
@@ -83,12 +83,12 @@
 
     @Override
     public void send(byte[] frame) {
-      owner.simulation.carry(
+      owner.simulation.deliver(
           owner.host,
           remote,
           () -> {
             if (!other.owner.loop.alive) {
-              ended();
+              remoteClosed();
             } else {
               other.owner.loop.whenAwake(
                   () -> {
@@ -105,11 +105,11 @@
       if (open) {
         open = false;
         owner.loop.execute(() -> handler.closed(this));
-        owner.simulation.carry(owner.host, remote, other::ended);
+        owner.simulation.deliver(owner.host, remote, other::remoteClosed);
       }
     }
 
-    private void ended() {
+    private void remoteClosed() {
       owner.loop.whenAwake(
           () -> {
             if (open) {
--- a/src/test/java/org/sandford/scenario/Simulation.java
+++ b/src/test/java/org/sandford/scenario/Simulation.java
@@ -24,7 +24,7 @@
   }
 
   /** Whether a cut holds messages back until it is healed, or loses them. */
-  enum Cut {
+  enum CutMode {
     HOLD,
     LOSE
   }
@@ -35,15 +35,15 @@
   boolean lateReports;
 
   /** Whether some requests are followed by a late copy, which can arrive out of order. */
-  boolean duplicates;
+  boolean duplicateRequests;
 
   /** The maximum delay of such a copy, in milliseconds. */
-  int duplicatesLateMs = 2_000;
+  int maxDuplicateDelayMs = 2_000;
 
   final Random random;
   final List<String> violations = new ArrayList<>();
   private final PriorityQueue<Event> queue = new PriorityQueue<>();
-  private final Map<String, Cut> cuts = new LinkedHashMap<>();
+  private final Map<String, CutMode> cuts = new LinkedHashMap<>();
   private final Map<String, ArrayDeque<Runnable>> heldMessages = new LinkedHashMap<>();
   private final Map<String, Long> lastArrival = new HashMap<>();
 
@@ -54,7 +54,8 @@
   int messageDelayMs;
 
   /** Receives all orders that controllers send directly to a worker, when they are sent. */
-  java.util.function.Consumer<com.fasterxml.jackson.databind.JsonNode> ordersSent = orders -> {};
+  java.util.function.Consumer<com.fasterxml.jackson.databind.JsonNode> ordersSentListener =
+      orders -> {};
 
   private final Set<String> deadHosts = new HashSet<>();
   private long now = 1_000 * MS;
@@ -98,14 +99,14 @@
     return from + ">" + to;
   }
 
-  void cut(String a, String b, Cut kind) {
-    cutOneWay(a, b, kind);
-    cutOneWay(b, a, kind);
+  void cut(String a, String b, CutMode mode) {
+    cutOneWay(a, b, mode);
+    cutOneWay(b, a, mode);
   }
 
   /** Cuts one direction: only messages from the first host to the second are affected. */
-  void cutOneWay(String from, String to, Cut kind) {
-    cuts.put(link(from, to), kind);
+  void cutOneWay(String from, String to, CutMode mode) {
+    cuts.put(link(from, to), mode);
   }
 
   boolean hasCuts() {
@@ -140,9 +141,9 @@
   }
 
   /** Returns the cut between two hosts, or null; {@code *} stands for every host. */
-  Cut cutBetween(String from, String to) {
+  CutMode cutBetween(String from, String to) {
     if (isolatedHosts.contains(from) != isolatedHosts.contains(to)) {
-      return Cut.HOLD;
+      return CutMode.HOLD;
     }
     for (String link : new String[] {link(from, to), link(from, "*"), link("*", to)}) {
       if (cuts.containsKey(link)) {
@@ -165,12 +166,12 @@
   }
 
   /** Delivers a message unless a cut affects it; those between the same two hosts stay in order. */
-  void carry(String from, String to, Runnable arrive) {
-    Cut cut = cutBetween(from, to);
-    if (cut == Cut.LOSE) {
+  void deliver(String from, String to, Runnable arrive) {
+    CutMode cut = cutBetween(from, to);
+    if (cut == CutMode.LOSE) {
       return;
     }
-    if (cut == Cut.HOLD) {
+    if (cut == CutMode.HOLD) {
       heldMessages.computeIfAbsent(link(from, to), p -> new ArrayDeque<>()).addLast(arrive);
       return;
     }
