--- a/src/test/java/org/sandford/scenario/FakeWorker.java
+++ b/src/test/java/org/sandford/scenario/FakeWorker.java
@@ -52,11 +52,11 @@
   private boolean hanging;
   boolean tasksFail;
 
-  /** Whether its reports reach no controller, while direct commands still reach it. */
-  boolean reportsBlocked;
+  /** Whether its heartbeats reach no controller, while direct commands still reach it. */
+  boolean heartbeatsBlocked;
 
-  /** A report that is captured to be delivered later. */
-  private byte[] capturedReport;
+  /** A heartbeat that is captured to be delivered later. */
+  private byte[] capturedHeartbeat;
 
   private Double interruptionNoticeS;
 
@@ -109,7 +109,7 @@
     scenario.servers.remove(machine.name, this);
   }
 
-  void die() {
+  void crash() {
     terminated = true;
     removeAllTasks();
     simulation.setDead(machine.name, true);
@@ -119,24 +119,24 @@
     return !terminated
         && !hanging
         && !tasksFail
-        && !reportsBlocked
+        && !heartbeatsBlocked
         && interruptionNoticeS == null
         && !simulation.isDead(machine.name);
   }
 
   boolean hasFault() {
-    return !terminated && (hanging || reportsBlocked);
+    return !terminated && (hanging || heartbeatsBlocked);
   }
 
-  /** Captures the present report, as if it were delayed in the network. */
-  void captureReport() {
-    capturedReport = Json.bytes(reportBody());
+  /** Captures the present heartbeat, as if it were delayed in the network. */
+  void captureHeartbeat() {
+    capturedHeartbeat = Json.bytes(reportBody());
   }
 
-  void deliverCapturedReport(String to) {
+  void deliverCapturedHeartbeat(String to) {
     FakeServer server = scenario.servers.get(to);
     if (server != null && !simulation.isDead(to)) {
-      server.take(machine.name, "POST", "/hello", capturedReport, ignored -> {});
+      server.take(machine.name, "POST", "/hello", capturedHeartbeat, ignored -> {});
     }
   }
 
@@ -241,7 +241,7 @@
           handleAnswer(response, sentAt, sentTenure);
         };
     simulation.after(4_000, () -> answered.accept(new Response(0, Json.object())));
-    if (simulation.lateReports && simulation.random.nextInt(4) == 0) {
+    if (simulation.lateHeartbeats && simulation.random.nextInt(4) == 0) {
       long delayMs = 1_000L + simulation.random.nextInt((int) (3_000 * scenario.script.leaseS));
       String lateTarget = "c" + simulation.random.nextInt(scenario.script.controllers);
       simulation.after(
@@ -254,7 +254,7 @@
           });
     }
     FakeServer server = scenario.servers.get(to);
-    if (server == null || simulation.isDead(to) || reportsBlocked) {
+    if (server == null || simulation.isDead(to) || heartbeatsBlocked) {
       simulation.after(1, () -> answered.accept(new Response(0, Json.object())));
     } else {
       simulation.deliver(
--- a/src/test/java/org/sandford/scenario/FaultMonitor.java
+++ b/src/test/java/org/sandford/scenario/FaultMonitor.java
@@ -44,7 +44,7 @@
         || store.hasFault()
         || cloud.outage
         || simulation.duplicateRequests
-        || simulation.lateReports
+        || simulation.lateHeartbeats
         || simulation.messageDelayMs > 0
         || cloud.machines.values().stream()
             .anyMatch(machine -> machine.worker != null && machine.worker.hasFault());
--- a/src/test/java/org/sandford/scenario/ScenarioSteps.java
+++ b/src/test/java/org/sandford/scenario/ScenarioSteps.java
@@ -97,7 +97,7 @@
     register("isolate_zone", step -> simulation.isolate(hosts.hostsInZone(step.word(1))));
     register("rejoin_zone", step -> simulation.isolate(Set.of()));
     register("message_delay", step -> simulation.messageDelayMs = step.intAt(1));
-    register("late_heartbeats", step -> simulation.lateReports = step.isOn(1));
+    register("late_heartbeats", step -> simulation.lateHeartbeats = step.isOn(1));
     register("duplicates", this::duplicate);
   }
 
@@ -123,16 +123,17 @@
   }
 
   private void registerMachines() {
-    register("block_heartbeats", step -> hosts.worker(step.word(1)).reportsBlocked = true);
-    register("unblock_heartbeats", step -> hosts.worker(step.word(1)).reportsBlocked = false);
-    register("capture_heartbeat", step -> hosts.worker(step.word(1)).captureReport());
+    register("block_heartbeats", step -> hosts.worker(step.word(1)).heartbeatsBlocked = true);
+    register("unblock_heartbeats", step -> hosts.worker(step.word(1)).heartbeatsBlocked = false);
+    register("capture_heartbeat", step -> hosts.worker(step.word(1)).captureHeartbeat());
     register(
         "deliver_heartbeat",
-        step -> hosts.worker(step.word(1)).deliverCapturedReport(hosts.controller(step.word(2))));
+        step ->
+            hosts.worker(step.word(1)).deliverCapturedHeartbeat(hosts.controller(step.word(2))));
     register("hang", this::hang);
     register(
         "resume", step -> (step.hasWord(1) ? hosts.worker(step.word(1)) : lastHung).hang(false));
-    register("crash_machine", step -> hosts.worker(step.word(1)).die());
+    register("crash_machine", step -> hosts.worker(step.word(1)).crash());
     register("fail_tasks", step -> hosts.worker(step.word(1)).tasksFail = true);
     register(
         "interruption_notice",
--- a/src/test/java/org/sandford/scenario/Simulation.java
+++ b/src/test/java/org/sandford/scenario/Simulation.java
@@ -31,8 +31,8 @@
 
   static final long MS = 1_000_000L;
 
-  /** Whether copies of workers' reports arrive late, by 1 s to three lease periods. */
-  boolean lateReports;
+  /** Whether copies of workers' heartbeats arrive late, by 1 s to three lease periods. */
+  boolean lateHeartbeats;
 
   /** Whether some requests are followed by a late copy, which can arrive out of order. */
   boolean duplicateRequests;
