--- a/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
+++ b/src/test/java/org/sandford/scenario/RandomFaultCombinations.java
@@ -21,12 +21,14 @@
 
   /** The steps that start and end each fault that makes a machine unreachable. */
   private static final String[][] MACHINE_FAULTS = {
-    {"hang", "resume"}, {"mute", "unmute"}, {"deafen", "hears"}
+    {"hang", "resume"},
+    {"block_heartbeats", "unblock_heartbeats"},
+    {"drop_inbound", "restore_inbound"}
   };
 
   /** The controllers that may crash. */
   private static final String[] CRASH_TARGETS = {
-    "owner:red", "owner:blue", "holder:m:0", "holder:m:1", "leader", "all"
+    "team_owner:red", "team_owner:blue", "machine_owner:m:0", "machine_owner:m:1", "leader", "all"
   };
 
   /** Keeps these random numbers independent of those that generate the base scenario. */
@@ -53,12 +55,12 @@
   static List<String> generateWithFrequentPolls(long seed) {
     Random ownRandom = new Random(seed * FREQUENT_POLLS_SALT);
     List<String> lines = new ArrayList<>(generate(seed));
-    lines.add("at 2 close_looks on");
-    lines.add("at 2 slow_watches all " + (50 + ownRandom.nextInt(400)));
-    lines.add("at 2 slow_commits " + (50 + ownRandom.nextInt(400)));
+    lines.add("at 2 frequent_polls on");
+    lines.add("at 2 watch_delay all " + (50 + ownRandom.nextInt(400)));
+    lines.add("at 2 commit_delay " + (50 + ownRandom.nextInt(400)));
     lines.add("at 2 lost_answers " + ownRandom.nextInt(40));
-    lines.add("at " + FAULTS_UNTIL_S + " quick_watches");
-    lines.add("at " + FAULTS_UNTIL_S + " slow_commits 0");
+    lines.add("at " + FAULTS_UNTIL_S + " clear_watch_delays");
+    lines.add("at " + FAULTS_UNTIL_S + " commit_delay 0");
     lines.add("at " + FAULTS_UNTIL_S + " lost_answers 0");
     return sortedByTime(lines);
   }
@@ -75,14 +77,15 @@
     double at = 12 + ownRandom.nextDouble() * 3;
     List<String> lines = new ArrayList<>();
     lines.add(
-        String.format(Locale.ROOT, "workers %.0f %.0f %.0f", periods[0], periods[1], periods[2]));
+        String.format(
+            Locale.ROOT, "worker_periods %.0f %.0f %.0f", periods[0], periods[1], periods[2]));
     lines.addAll(List.of("seed " + seed, "team red 8 8", "team blue 8 16", "machines 2"));
-    lines.addAll(List.of("pool 8", "until 260"));
+    lines.addAll(List.of("pool_size 8", "until 260"));
     lines.add(
         "at 3 submit wk-1 cpus="
             + (ownRandom.nextBoolean() ? "1 tasks=8" : "4 tasks=2")
-            + " run=300");
-    lines.add("at 3 submit wk-2 team=blue tasks=8 cpus=2 run=300");
+            + " run_s=300");
+    lines.add("at 3 submit wk-2 team=blue tasks=8 cpus=2 run_s=300");
     for (int machine = 0; machine < 1 + ownRandom.nextInt(3); machine++) {
       String[] fault = MACHINE_FAULTS[ownRandom.nextInt(MACHINE_FAULTS.length)];
       lines.add(formatStep(at + ownRandom.nextDouble(), fault[0] + " m:" + machine));
@@ -103,7 +106,7 @@
       String team = ownRandom.nextBoolean() ? "red" : "blue";
       String submit =
           "submit wk-1" + job + " team=" + team + " tasks=" + (1 + ownRandom.nextInt(4));
-      lines.add(formatStep(at + ownRandom.nextDouble() * 25, submit + " run=15"));
+      lines.add(formatStep(at + ownRandom.nextDouble() * 25, submit + " run_s=15"));
     }
     return sortedByTime(lines);
   }
@@ -127,11 +130,12 @@
     List<String> lines = new ArrayList<>();
     double[] periods = WORKER_PERIODS[random.nextInt(WORKER_PERIODS.length)];
     lines.add(
-        String.format(Locale.ROOT, "workers %.0f %.0f %.0f", periods[0], periods[1], periods[2]));
+        String.format(
+            Locale.ROOT, "worker_periods %.0f %.0f %.0f", periods[0], periods[1], periods[2]));
     machines = 2 + random.nextInt(2);
     lines.add("seed " + seed);
     lines.add("machines " + machines);
-    lines.add("pool " + (machines + random.nextInt(5)));
+    lines.add("pool_size " + (machines + random.nextInt(5)));
     lines.add("team red 8 " + (16 + 8 * random.nextInt(3)));
     lines.add("team blue 8 32");
     lines.add("until " + END_S);
@@ -174,10 +178,10 @@
           .append(2 + ownRandom.nextInt(4))
           .append(" cpus=")
           .append(1 + ownRandom.nextInt(2));
-      step.append(" run=")
+      step.append(" run_s=")
           .append(5 + ownRandom.nextInt(50))
           .append(ownRandom.nextBoolean() ? " together" : "");
-      step.append(ownRandom.nextBoolean() ? " save=10" : "")
+      step.append(ownRandom.nextBoolean() ? " checkpoint_interval_s=10" : "")
           .append(ownRandom.nextInt(3) == 0 ? " rank=urgent" : "");
       addStep(at, step.toString());
       if (ownRandom.nextInt(4) == 0) {
@@ -206,7 +210,7 @@
       step.append(" standing rank=production");
       step.append(random.nextBoolean() ? " scatter" : " together");
     } else {
-      step.append(" run=")
+      step.append(" run_s=")
           .append(2 + random.nextInt(20))
           .append('/')
           .append(5 + random.nextInt(90));
@@ -226,7 +230,7 @@
   private void addFault(double at, double[] periods) {
     double lease = periods[1];
     switch (random.nextInt(16)) {
-      case 0 -> addFaultSteps(at, randomBetween(2, 20), "refuse leader", "admit refused");
+      case 0 -> addFaultSteps(at, randomBetween(2, 20), "refuse leader", "accept refused");
       case 1 ->
           addFaultSteps(
               at, randomBetween(5, periods[2] + 15), "outage store on", "outage store off");
@@ -243,11 +247,19 @@
       }
       case 6 -> {
         String machine = randomMachine();
-        addFaultSteps(at, randomBetween(3, lease + 20), "mute " + machine, "unmute " + machine);
+        addFaultSteps(
+            at,
+            randomBetween(3, lease + 20),
+            "block_heartbeats " + machine,
+            "unblock_heartbeats " + machine);
       }
       case 7 -> {
         String machine = randomMachine();
-        addFaultSteps(at, randomBetween(3, lease + 20), "deafen " + machine, "hears " + machine);
+        addFaultSteps(
+            at,
+            randomBetween(3, lease + 20),
+            "drop_inbound " + machine,
+            "restore_inbound " + machine);
       }
       case 8 -> {
         String machine = randomMachine();
@@ -261,11 +273,12 @@
           addFaultSteps(
               at,
               randomBetween(5, lease + 25),
-              "island " + (random.nextBoolean() ? "a" : "b"),
-              "mainland");
+              "isolate_zone " + (random.nextBoolean() ? "a" : "b"),
+              "rejoin_zone");
       case 10 -> addFaultSteps(at, randomBetween(10, 50), "late_writes 30", "late_writes 0");
-      case 11 -> addFaultSteps(at, randomBetween(10, 60), "late_reports on", "late_reports off");
-      case 12 -> addFaultSteps(at, randomBetween(10, 40), "slow_store 1000", "slow_store 0");
+      case 11 ->
+          addFaultSteps(at, randomBetween(10, 60), "late_heartbeats on", "late_heartbeats off");
+      case 12 -> addFaultSteps(at, randomBetween(10, 40), "answer_delay 1000", "answer_delay 0");
       case 13 -> {
         String c = "c" + random.nextInt(3);
         double length = randomBetween(4, periods[2]);
@@ -276,10 +289,9 @@
           }
         }
       }
-      case 14 ->
-          addFaultSteps(at, randomBetween(20, 60), "cancels_at_end on", "cancels_at_end off");
+      case 14 -> addFaultSteps(at, randomBetween(20, 60), "cancel_at_end on", "cancel_at_end off");
       default -> {
-        addFaultSteps(at, randomBetween(10, 60), "odd_requests on", "odd_requests off");
+        addFaultSteps(at, randomBetween(10, 60), "invalid_requests on", "invalid_requests off");
         addFaultSteps(at + 1, randomBetween(10, 60), "duplicates on 40", "duplicates off");
       }
     }
