--- a/src/main/java/org/sandford/cluster/RecordVersions.java
+++ b/src/main/java/org/sandford/cluster/RecordVersions.java
@@ -19,7 +19,7 @@
 /**
  * Determines which version of stored records every configured controller supports. A controller
  * announces its version together with its incarnation, so the announcement outlives the process and
- * is replaced when the controller starts again. Runs on the event loop.
+ * is replaced by whichever version starts next, newer or older. Runs on the event loop.
  *
  * <p>A record that an older version would misread may be written only once all controllers, even
  * those that are down, have announced a version that supports it: a controller that stops before
--- a/src/main/java/org/sandford/job/Job.java
+++ b/src/main/java/org/sandford/job/Job.java
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Allows a terminal phase after any non-terminal one, since other controllers write terminal
-     * states too.
+     * Allows a terminal phase after any non-terminal one. A terminal state may be found in the
+     * store at any time, since a former or a later owner of the team may have written it.
      */
     private boolean canTransitionTo(Phase next) {
       return switch (next) {
--- a/src/main/java/org/sandford/job/UnreportedMachines.java
+++ b/src/main/java/org/sandford/job/UnreportedMachines.java
@@ -14,7 +14,7 @@
   private final Function<String, Resources> capacityOf;
   private final Map<String, Resources> capacityByMachine = new HashMap<>();
 
-  /** The number of machines of unknown capacity. */
+  /** The number of machines of unknown capacity; their tasks may use any amount of resources. */
   private int unboundedCount;
 
   private Resources boundedCapacity = Resources.ZERO;
--- a/src/main/java/org/sandford/machine/Machine.java
+++ b/src/main/java/org/sandford/machine/Machine.java
@@ -238,7 +238,11 @@
         || images.additions() != imagesBefore;
   }
 
-  /** Records that the worker's lease has expired and removes every task of its agent epoch. */
+  /**
+   * Records that the worker's lease has expired and removes every task of its agent epoch. Commands
+   * apply only to the agent epoch that they were sent to, so those of the expired epoch can have no
+   * effect any more. Hence even starts of unknown outcome are removed.
+   */
   void expireLease() {
     lease.expire(agentEpoch);
     tasks.clear();
