--- a/src/main/java/org/sandford/api/Api.java
+++ b/src/main/java/org/sandford/api/Api.java
@@ -12,10 +12,10 @@
 import org.sandford.runtime.Json;
 
 /**
- * The HTTP interface for users, workers and the load balancer, and the entry for requests that
- * other controllers forward. Routes each request to the handler of its concern.
+ * Routes HTTP requests from users, workers and the load balancer, and requests forwarded by other
+ * controllers, to their handlers.
  *
- * <p>Has no state of its own; runs on the event loop.
+ * <p>Stateless; runs on the event loop.
  */
 public final class Api {
   private static final String HEALTH_PATH = "/up";
@@ -31,7 +31,7 @@
   private final HealthHandler health;
   private final OwnerForwarding forwarding;
 
-  /** Heartbeats of workers go to {@code machineShard}. */
+  /** Creates an interface that passes worker heartbeats to {@code machineShard}. */
   public Api(
       UserAnswers userAnswers,
       SubmissionHandler submissions,
@@ -49,7 +49,7 @@
     this.forwarding = forwarding;
   }
 
-  /** Times from a submission's arrival here to its answer, in milliseconds. */
+  /** Returns the response times of submissions to this controller, in milliseconds. */
   public Histogram submissionMillis() {
     return userAnswers.submissionMillis();
   }
@@ -57,8 +57,8 @@
   /**
    * Handles one HTTP request.
    *
-   * @param uri the path, with or without a query, which is ignored
-   * @param answer gets the response, once
+   * @param uri the path; a query is ignored
+   * @param answer receives the response, once
    */
   public void take(String method, String uri, byte[] body, Consumer<ApiResponse> answer) {
     String path = pathOf(uri);
--- a/src/main/java/org/sandford/api/CancellationHandler.java
+++ b/src/main/java/org/sandford/api/CancellationHandler.java
@@ -9,24 +9,24 @@
 import org.sandford.model.HttpStatus;
 
 /**
- * Handles {@code POST /work/{id}/abort}: cancels a job of an owned team here, and has any other
- * cancelled by the owner of its team.
+ * Handles {@code POST /work/{id}/abort}: cancels jobs of teams that this controller owns, and
+ * forwards other cancellations to the owner of the job's team.
  *
- * <p>Has no state of its own; runs on the event loop.
+ * <p>Stateless; runs on the event loop.
  */
 public final class CancellationHandler {
   private final JobScheduler jobs;
   private final JobReader jobReader;
   private final OwnerForwarding forwarding;
 
-  /** Other owners are reached through {@code forwarding}. */
+  /** Creates a handler that reaches other owners through {@code forwarding}. */
   public CancellationHandler(JobScheduler jobs, JobReader jobReader, OwnerForwarding forwarding) {
     this.jobs = jobs;
     this.jobReader = jobReader;
     this.forwarding = forwarding;
   }
 
-  /** Handles the cancellation of the job of a well-formed id. */
+  /** Cancels a job; {@code id} must be well formed. */
   void handle(String id, Consumer<ApiResponse> answer) {
     if (jobs.abort(id, answer)) {
       return;
--- a/src/main/java/org/sandford/api/FirstAnswer.java
+++ b/src/main/java/org/sandford/api/FirstAnswer.java
@@ -7,8 +7,8 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * Passes on the first answer to a request and drops any later one. If there is none by the
- * deadline, that is the answer.
+ * Delivers the first answer to a request and drops later ones. Answers with 503 if there is none by
+ * the deadline.
  */
 final class FirstAnswer implements Consumer<ApiResponse> {
   private final Consumer<ApiResponse> receiver;
--- a/src/main/java/org/sandford/api/ForwardedRequestHandler.java
+++ b/src/main/java/org/sandford/api/ForwardedRequestHandler.java
@@ -14,17 +14,17 @@
  * Serves requests about jobs of this controller's teams, whether they arrived here or were
  * forwarded by another controller.
  *
- * <p>Has no state of its own; runs on the event loop.
+ * <p>Stateless; runs on the event loop.
  */
 public final class ForwardedRequestHandler {
   private final JobScheduler jobs;
 
-  /** Requests are served by {@code jobs}. */
+  /** Creates a handler that serves requests from {@code jobs}. */
   public ForwardedRequestHandler(JobScheduler jobs) {
     this.jobs = jobs;
   }
 
-  /** Serves a request of another controller. */
+  /** Serves a request that another controller forwarded. */
   void handleForwarded(ForwardedRequest request, Consumer<Object> reply) {
     handle(
         request,
@@ -37,7 +37,7 @@
                     answer.retryAfterS())));
   }
 
-  /** Serves a request; one with a verb of a later version is refused. */
+  /** Serves a request; refuses an unknown verb, which a later version may send. */
   void handle(ForwardedRequest request, Consumer<ApiResponse> answer) {
     if (isOfKind(request, UserRequestKind.SUBMIT)) {
       jobs.submit(ForwardedSpec.decode(request), answer);
@@ -68,7 +68,7 @@
     }
   }
 
-  /** A job that is open in the store but not known here is still being loaded. */
+  /** Answers 503 for a job that is open in the store, since this controller is still loading it. */
   private static ApiResponse cancellationAnswerFor(ApiResponse storeAnswer) {
     return storeAnswer.status() == HttpStatus.NOT_FOUND
             || TerminalState.isTerminal(storeAnswer.state())
--- a/src/main/java/org/sandford/api/ForwardedSpec.java
+++ b/src/main/java/org/sandford/api/ForwardedSpec.java
@@ -6,7 +6,7 @@
 import org.sandford.peer.wire.ForwardedRequest;
 import org.sandford.runtime.Json;
 
-/** The form of a job in the body of a submission that is forwarded to another controller. */
+/** Encodes and decodes the job in the body of a forwarded submission. */
 final class ForwardedSpec {
   private static final String SPEC_FIELD = "s";
 
--- a/src/main/java/org/sandford/api/HealthHandler.java
+++ b/src/main/java/org/sandford/api/HealthHandler.java
@@ -7,21 +7,24 @@
 import org.sandford.runtime.Json;
 
 /**
- * Handles {@code GET /up}, by which the load balancer tells whether to send users here.
+ * Handles {@code GET /up}, by which the load balancer decides whether to route users here.
  *
- * <p>Has no state of its own; runs on the event loop.
+ * <p>Stateless; runs on the event loop.
  */
 public final class HealthHandler {
   private final Cluster cluster;
   private final PeerLinks links;
 
-  /** Health depends on the membership and on the links to other controllers. */
+  /** Creates a handler that checks the membership and the links to other controllers. */
   public HealthHandler(Cluster cluster, PeerLinks links) {
     this.cluster = cluster;
     this.links = links;
   }
 
-  /** Healthy is a controller that may act itself, or reaches another to forward requests to. */
+  /**
+   * Reports healthy if the assignment map is loaded and this controller either holds a valid
+   * session lease or can forward requests to another one.
+   */
   ApiResponse handle() {
     boolean healthy =
         cluster.assignmentMapLoaded() && (cluster.sessionLeaseValid() || links.anyLive());
--- a/src/main/java/org/sandford/api/JobFeasibility.java
+++ b/src/main/java/org/sandford/api/JobFeasibility.java
@@ -6,12 +6,12 @@
 import org.sandford.model.JobSpec;
 import org.sandford.settings.Settings;
 
-/** Rejects jobs that can never run, whatever becomes free. */
+/** Rejects jobs that could not run even on an idle cluster. */
 final class JobFeasibility {
   private JobFeasibility() {}
 
   /**
-   * Checks a job against what exists.
+   * Checks a job against its team's limits and the available instance types.
    *
    * @param teams the teams by name
    * @param instanceTypes the instance types of the cloud by name
@@ -42,7 +42,7 @@
         && type.fits(job.cpus(), job.gpus(), job.ram());
   }
 
-  /** The tasks of a job array may run one after another; all others run at the same time. */
+  /** Counts one task of a job array, whose tasks may run in turn, and all tasks of other jobs. */
   private static void checkQuota(JobSpec job, Settings.Team team) throws JobRejectedException {
     boolean concurrent = job.shape() != JobSpec.Shape.ARRAY;
     int concurrentTasks = concurrent ? job.tasks() : 1;
--- a/src/main/java/org/sandford/api/JobParser.java
+++ b/src/main/java/org/sandford/api/JobParser.java
@@ -8,8 +8,8 @@
 import org.sandford.model.JobSpec;
 
 /**
- * Parses submissions. The field names of the users' protocol are mapped to the scheduler's terms
- * here and nowhere else.
+ * Parses submissions. Only this class maps the field names of the user API to the scheduler's
+ * terms.
  */
 final class JobParser {
   private static final String ID = "name_id";
@@ -36,30 +36,31 @@
   private static final Pattern JOB_ID_PATTERN = Pattern.compile("wk-[0-9]{1,40}");
   private static final double MAX_AMOUNT = 1e12;
 
-  /** A job without a deadline. */
+  /** The deadline of a job that has none. */
   private static final double NO_DEADLINE = 0;
 
-  /** A job that may run in any zone. */
+  /** The zone of a job that may run in any. */
   private static final String ANY_ZONE = "";
 
   private JobParser() {}
 
-  /** Whether the text has the form of a job id. */
+  /** Returns whether the text has the format of a job id. */
   static boolean isJobId(String id) {
     return JOB_ID_PATTERN.matcher(id).matches();
   }
 
-  /** The id of a body that may be malformed otherwise, or an empty text. */
+  /** Returns the valid id in a body that may otherwise be malformed, or an empty string. */
   static String validIdOrEmpty(JsonNode body) {
     String id = body.path(ID).asText("");
     return body.path(ID).isTextual() && isJobId(id) ? id : "";
   }
 
   /**
-   * The job that a body describes.
+   * Parses a submitted job.
    *
-   * @param body the body, or a missing node when it was not JSON
-   * @throws JobRejectedException if the body is malformed; it names the first field at fault
+   * @param body the body, or a missing node if it was not JSON
+   * @throws JobRejectedException if the body is malformed; the message names the first invalid
+   *     field
    */
   static JobSpec parse(JsonNode body) throws JobRejectedException {
     if (body.isMissingNode()) {
@@ -94,7 +95,7 @@
         isMissingOrNull(body, DEADLINE_S) ? NO_DEADLINE : nonNegativeNumber(body, DEADLINE_S));
   }
 
-  /** Fields that may be null may be missing too. */
+  /** Returns whether a nullable field has no value; it may also be missing. */
   private static boolean isMissingOrNull(JsonNode body, String field) {
     JsonNode value = body.path(field);
     return value.isMissingNode() || value.isNull();
--- a/src/main/java/org/sandford/api/JobRejectedException.java
+++ b/src/main/java/org/sandford/api/JobRejectedException.java
@@ -2,7 +2,7 @@
 
 import org.sandford.model.HttpStatus;
 
-/** A submission that is rejected for good, with a reason that its user can act on. */
+/** Thrown when a submission is permanently rejected; the message tells its user the reason. */
 final class JobRejectedException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -13,17 +13,17 @@
     this.status = status;
   }
 
-  /** The body is not a job: not JSON, not an object, or a field is missing or invalid. */
+  /** Rejects a body that is not a JSON object, or that has a missing or invalid field. */
   static JobRejectedException malformed(String reason) {
     return new JobRejectedException(HttpStatus.BAD_REQUEST, reason);
   }
 
-  /** The job is well formed, but can never run. */
+  /** Rejects a well-formed job that can never run. */
   static JobRejectedException infeasible(String reason) {
     return new JobRejectedException(HttpStatus.UNPROCESSABLE_CONTENT, reason);
   }
 
-  /** The HTTP status of the rejection. */
+  /** Returns the HTTP status of the rejection. */
   int status() {
     return status;
   }
--- a/src/main/java/org/sandford/api/OwnerForwarding.java
+++ b/src/main/java/org/sandford/api/OwnerForwarding.java
@@ -22,19 +22,19 @@
 import org.sandford.runtime.Json;
 
 /**
- * Passes requests on to the controller that owns the job's team; this one serves those of its own
- * teams. Owns the calls that wait for another controller's response.
+ * Forwards requests to the controller that owns the job's team, and handles those for this
+ * controller's own teams locally. Tracks the calls that await another controller's response.
  *
- * <p>Each call ends in exactly one way: with the owner's answer, or as unreachable when there is no
- * link to the owner or no response within {@link ApiConstants#FORWARD_TIMEOUT_MS}. The owner may
- * have carried out a call that ends as unreachable.
+ * <p>Each call runs exactly one callback: {@code answer} with the owner's answer, or {@code
+ * onUnreachable} if there is no link to the owner or no response within {@link
+ * ApiConstants#FORWARD_TIMEOUT_MS}. The owner may have executed a request that timed out.
  *
  * <p>Runs on the event loop.
  */
 public final class OwnerForwarding {
   private static final ByteBuffer NO_BODY = ByteBuffer.allocate(0);
 
-  /** A call that waits for the response of {@code owner}. */
+  /** A call that awaits the response of the controller {@code ownerLabel}. */
   private record PendingCall(
       String ownerLabel, Consumer<ApiResponse> answer, EventLoop.Timer timeout) {}
 
@@ -49,7 +49,7 @@
 
   /**
    * @param ownLabel the label of this controller
-   * @param localHandler serves requests about teams of this controller
+   * @param localHandler handles requests for this controller's teams
    */
   public OwnerForwarding(
       EventLoop loop,
@@ -66,7 +66,7 @@
     this.localHandler = localHandler;
   }
 
-  /** Has the owner of the job's team accept a job. */
+  /** Submits a job to the owner of its team. */
   void submit(JobSpec spec, Consumer<ApiResponse> answer, Runnable onUnreachable) {
     forward(
         spec.team(),
@@ -77,12 +77,12 @@
         onUnreachable);
   }
 
-  /** Asks the owner of the team for the state of a job. */
+  /** Requests the state of a job from the owner of the team. */
   void poll(String id, String team, Consumer<ApiResponse> answer, Runnable onUnreachable) {
     forward(team, UserRequestKind.POLL, id, NO_BODY, answer, onUnreachable);
   }
 
-  /** Has the owner of the team cancel a job. */
+  /** Requests the cancellation of a job from the owner of the team. */
   void cancel(String id, String team, Consumer<ApiResponse> answer, Runnable onUnreachable) {
     forward(team, UserRequestKind.CANCEL, id, NO_BODY, answer, onUnreachable);
   }
@@ -119,12 +119,12 @@
     pendingCalls.put(callId, new PendingCall(ownerLabel, answer, timeout));
   }
 
-  /** Serves a request that another controller forwarded to this one. */
+  /** Handles a request that another controller forwarded to this one. */
   void handleRequest(ForwardedRequest request, Consumer<Object> reply) {
     localHandler.handleForwarded(request, reply);
   }
 
-  /** Takes the response of another controller; one that comes after the timeout is dropped. */
+  /** Handles the response of another controller; drops one that arrives after the timeout. */
   void handleResponse(ForwardedResponse response) {
     PendingCall pending = pendingCalls.remove(response.call);
     if (pending == null) {
--- a/src/main/java/org/sandford/api/PollHandler.java
+++ b/src/main/java/org/sandford/api/PollHandler.java
@@ -10,10 +10,10 @@
 import org.sandford.model.HttpStatus;
 
 /**
- * Handles {@code GET /work/{id}}: from memory where that is surely current, then from the owner of
- * the job's team if that is known and another controller, then from the store.
+ * Handles {@code GET /work/{id}}. Answers from memory if that is guaranteed to be current, else
+ * from the owner of the job's team if that is known and another controller, else from the store.
  *
- * <p>Has no state of its own; runs on the event loop.
+ * <p>Stateless; runs on the event loop.
  */
 public final class PollHandler {
   private final Cluster cluster;
@@ -21,7 +21,7 @@
   private final JobReader jobReader;
   private final OwnerForwarding forwarding;
 
-  /** Other owners are reached through {@code forwarding}. */
+  /** Creates a handler that reaches other owners through {@code forwarding}. */
   public PollHandler(
       Cluster cluster, JobAnswers jobAnswers, JobReader jobReader, OwnerForwarding forwarding) {
     this.cluster = cluster;
@@ -30,7 +30,7 @@
     this.forwarding = forwarding;
   }
 
-  /** Handles a poll for the job of a well-formed id. */
+  /** Answers a poll; {@code id} must be well formed. */
   void handle(String id, Consumer<ApiResponse> answer) {
     Optional<ApiResponse> answerFromMemory = jobAnswers.fromMemory(id);
     if (answerFromMemory.isPresent()) {
--- a/src/main/java/org/sandford/api/SubmissionHandler.java
+++ b/src/main/java/org/sandford/api/SubmissionHandler.java
@@ -13,10 +13,10 @@
 import org.sandford.settings.Settings;
 
 /**
- * Handles {@code POST /work}: checks the job, and has the owner of its team accept it. If the owner
- * cannot, this controller stores the job on the owner's behalf.
+ * Handles {@code POST /work}: validates the job and submits it to the owner of its team. If the
+ * owner is unreachable or answers 503, this controller stores the job on the owner's behalf.
  *
- * <p>Has no state of its own; runs on the event loop.
+ * <p>Stateless; runs on the event loop.
  */
 public final class SubmissionHandler {
   private final Settings settings;
@@ -26,7 +26,7 @@
   private final JobReader jobReader;
   private final OwnerForwarding forwarding;
 
-  /** Jobs are checked against the instance types that {@code autoscaler} knows. */
+  /** Creates a handler that checks jobs against the instance types of {@code autoscaler}. */
   public SubmissionHandler(
       Settings settings,
       Autoscaler autoscaler,
@@ -42,7 +42,7 @@
     this.forwarding = forwarding;
   }
 
-  /** Handles a submission; {@code body} is a missing node when it was not JSON. */
+  /** Handles a submission; {@code body} is a missing node if it was not JSON. */
   void handle(JsonNode body, Consumer<ApiResponse> answer) {
     JobSpec spec;
     try {
@@ -83,7 +83,7 @@
         () -> jobs.storeOnBehalfOfOwner(spec, answer));
   }
 
-  /** A job that was accepted once stays accepted, even if a repeat of it would now be rejected. */
+  /** Rejects a job unless it was accepted before, since an accepted job stays accepted. */
   private void answerRejection(
       String id, JobRejectedException rejection, Consumer<ApiResponse> answer) {
     ApiResponse refusal = ApiResponse.refuse(rejection.status(), rejection.getMessage());
--- a/src/main/java/org/sandford/api/UserAnswers.java
+++ b/src/main/java/org/sandford/api/UserAnswers.java
@@ -11,11 +11,11 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * The way of every answer to a user about a job: it comes within the deadline, is no older than
- * what is known here when it leaves, is recorded in the audit log, and the other controllers hear
- * of a cancellation before the user does.
+ * Processes every answer to a user about a job. Enforces the deadline, replaces an answer that is
+ * older than a terminal state known here, notifies the other controllers of a confirmed
+ * cancellation before the user, and writes the audit log.
  *
- * <p>Owns the response times of submissions; runs on the event loop.
+ * <p>Records the response times of submissions; runs on the event loop.
  */
 public final class UserAnswers {
   private static final int MAX_RECORDED_MS = 60_000;
@@ -27,7 +27,10 @@
   private final AuditLog audit;
   private final Histogram submissionMillis = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
 
-  /** Newer ends come from {@code jobAnswers}; {@code cancellations} tells the other controllers. */
+  /**
+   * Creates an instance that looks up terminal states in {@code jobAnswers} and notifies the other
+   * controllers through {@code cancellations}.
+   */
   public UserAnswers(
       EventLoop loop, JobAnswers jobAnswers, Cancellations cancellations, AuditLog audit) {
     this.loop = loop;
@@ -36,15 +39,15 @@
     this.audit = audit;
   }
 
-  /** Times from a submission's arrival here to its answer, in milliseconds. */
+  /** Returns the response times of submissions to this controller, in milliseconds. */
   Histogram submissionMillis() {
     return submissionMillis;
   }
 
   /**
-   * The receiver of answers to a request that has just arrived.
+   * Returns the receiver of answers to a request that has just arrived.
    *
-   * @param id the job asked about, or an empty text when the request names none
+   * @param id the id of the job, or an empty string if the request has no valid one
    */
   Consumer<ApiResponse> guardedReceiver(
       UserRequestKind kind, String id, Consumer<ApiResponse> userReceiver) {
@@ -73,7 +76,7 @@
     return current;
   }
 
-  /** Whether the answer says that the job has not ended, which may be out of date by now. */
+  /** Returns whether the answer reports an open job, which may be out of date by now. */
   private static boolean reportsOpenJob(ApiResponse answer) {
     return answer.status() == HttpStatus.CREATED
         || (answer.status() == HttpStatus.OK && !TerminalState.isTerminal(answer.state()));
--- a/src/main/java/org/sandford/api/UserRequestKind.java
+++ b/src/main/java/org/sandford/api/UserRequestKind.java
@@ -2,7 +2,7 @@
 
 import org.sandford.constants.ApiConstants;
 
-/** What a user asks for about a job. */
+/** Kinds of users' requests about jobs. */
 enum UserRequestKind {
   SUBMIT("submit", ApiConstants.CHANGE_DEADLINE_MS),
   POLL("poll", ApiConstants.POLL_DEADLINE_MS),
@@ -16,12 +16,12 @@
     this.deadlineMs = deadlineMs;
   }
 
-  /** The verb by which controllers and the audit log name it. */
+  /** Returns the verb that controllers and the audit log use. */
   String wireName() {
     return wireName;
   }
 
-  /** Milliseconds after which the user is answered in any case. */
+  /** Returns the milliseconds after which a request without an answer gets 503. */
   int deadlineMs() {
     return deadlineMs;
   }
--- a/src/main/java/org/sandford/cli/ArchiveWarmUp.java
+++ b/src/main/java/org/sandford/cli/ArchiveWarmUp.java
@@ -23,8 +23,8 @@
 import org.sandford.settings.SettingsLoader;
 
 /**
- * Loads the classes that a start needs, for the class-data archive that the build makes: a
- * controller runs for a moment on the loopback interface against itself.
+ * Loads the classes needed at startup, which the build records in the class-data archive. Briefly
+ * runs a controller on the loopback interface, with itself as peer, store and cloud.
  */
 final class ArchiveWarmUp {
   private static final String SETTINGS_TEMPLATE =
@@ -83,7 +83,7 @@
       runController(settings);
       return 0;
     } catch (IOException | SettingsException | InterruptedException e) {
-      System.err.println("sandford: the warm-up failed: " + e);
+      System.err.println("sandford: warm-up failed: " + e);
       return 1;
     }
   }
@@ -126,7 +126,7 @@
     loop.shutdown();
   }
 
-  /** Enough of a store and a cloud for a controller to join and look around. */
+  /** Returns a minimal response of the store or the cloud; null for any other path. */
   private static ObjectNode serviceResponse(String path) {
     ObjectNode response = Json.object().put("epoch", 1).put("permit", 1).put("more", false);
     if (path.startsWith("/store?")
--- a/src/main/java/org/sandford/cli/Daemon.java
+++ b/src/main/java/org/sandford/cli/Daemon.java
@@ -11,7 +11,7 @@
 
 /** Runs a controller on the real network and clocks. */
 final class Daemon {
-  /** Not an exit status: the controller runs on its own thread from here on. */
+  /** Returned instead of an exit status while the controller runs on the event loop's thread. */
   static final int KEEP_RUNNING = -1;
 
   private Daemon() {}
--- a/src/main/java/org/sandford/cli/Logging.java
+++ b/src/main/java/org/sandford/cli/Logging.java
@@ -1,6 +1,6 @@
 package org.sandford.cli;
 
-/** Sends the log to standard error at the level the platform names. */
+/** Configures logging to standard error; an unknown or missing level means info. */
 final class Logging {
   private Logging() {}
 
--- a/src/main/java/org/sandford/cli/Main.java
+++ b/src/main/java/org/sandford/cli/Main.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command line. Only this class ends the process. */
+/** The command-line entry point. Only this class exits the process. */
 @Command(
     name = "sandford",
     mixinStandardHelpOptions = true,
@@ -17,13 +17,13 @@
     description = "Runs one controller of the sandford cluster scheduler.",
     exitCodeOnInvalidInput = 2)
 public final class Main implements Callable<Integer> {
-  @Option(names = "--config", paramLabel = "FILE", description = "The platform's settings, TOML.")
+  @Option(names = "--config", paramLabel = "FILE", description = "The platform's settings (TOML).")
   private Path config;
 
   @Option(
       names = "--operators",
       paramLabel = "FILE",
-      description = "The operators' own settings, INI; without it the defaults hold.")
+      description = "The operators' settings (INI); defaults apply if omitted.")
   private Path operators;
 
   @Option(names = "--check", description = "Read and check the settings, then exit.")
@@ -33,10 +33,10 @@
       names = "--warm-up",
       hidden = true,
       description =
-          "Load the classes that a start needs, then exit; the build records the class-data archive.")
+          "Load the classes needed at startup, then exit; used by the build for the class-data archive.")
   private boolean warmUp;
 
-  /** Runs the command line; the process goes on while a controller runs. */
+  /** Runs the command line; does not exit while a controller runs. */
   public static void main(String[] args) {
     Logging.configure(System.getenv("LOG_LEVEL"));
     int status = new CommandLine(new Main()).execute(args);
@@ -51,7 +51,7 @@
       return ArchiveWarmUp.run();
     }
     if (config == null) {
-      System.err.println("sandford: --config FILE is needed; see --help");
+      System.err.println("sandford: --config FILE is required; see --help");
       return 2;
     }
     Settings settings;
@@ -62,7 +62,7 @@
       return 2;
     }
     if (check) {
-      System.out.println("sandford: the settings of " + settings.label() + " are good");
+      System.out.println("sandford: the settings of " + settings.label() + " are valid");
       return 0;
     }
     return Daemon.run(settings);
--- a/src/main/java/org/sandford/constants/package-info.java
+++ b/src/main/java/org/sandford/constants/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Every constant of the service, by duty, each with its unit. What belongs to a deployment
- * (periods, limits, teams) comes from the settings and never stands here; how a value was found
- * stands in docs/capacity.md.
+ * The constants of the service, grouped by component, each with its unit. Values that depend on the
+ * deployment (periods, limits, teams) come from the settings instead. docs/capacity.md tells how
+ * each value was found.
  */
 package org.sandford.constants;
--- a/src/main/java/org/sandford/controller/Controller.java
+++ b/src/main/java/org/sandford/controller/Controller.java
@@ -59,9 +59,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller: assembles the slices, routes the messages of other controllers to them, and
- * passes on changes of the cluster. Everything runs on the one event loop that it is given; the
- * constructor sends nothing, {@link #start} begins.
+ * Assembles the components of one controller, routes messages from other controllers to them, and
+ * notifies them of changes in the cluster. Everything runs on the given event loop. The constructor
+ * sends nothing; {@link #start} joins the cluster.
  */
 public final class Controller
     implements PeerLinks.RequestHandler, PeerLinks.ResponseHandler, Cluster.Listener {
@@ -84,7 +84,7 @@
   private AssignmentRevisions assignmentRevisions = new AssignmentRevisions(0L, 0L);
 
   /**
-   * Makes a controller that has not begun.
+   * Creates a controller without starting it.
    *
    * @param loop the event loop on which everything runs
    * @param http transport to the store, the cloud and the workers
@@ -163,7 +163,7 @@
     return autoscaler.instanceType(name);
   }
 
-  /** Sends what the cancellation log exchanges with the other controllers. */
+  /** Sends the messages of the cancellation log to the other controllers. */
   private final class CancellationPeers implements Cancellations.Peers {
     @Override
     public boolean request(String label, Object message) {
@@ -176,7 +176,7 @@
     }
   }
 
-  /** Joins the cluster and begins to serve. Must be called on the event loop, once. */
+  /** Joins the cluster and starts serving. Must be called once, on the event loop. */
   public void start() {
     log.info("controller starting label={} zone={}", settings.label(), settings.zone());
     cluster.start(this);
@@ -190,12 +190,12 @@
     loop.every(TimeConstants.SUMMARY_MS, this::logSummary);
   }
 
-  /** Handler of all HTTP requests of users and workers. */
+  /** Returns the handler of HTTP requests from users and workers. */
   public Api api() {
     return api;
   }
 
-  /** Snapshots of all machines, as their owners published them. */
+  /** Returns the snapshots of all machines, as published by their owners. */
   public MachineSnapshots machineSnapshots() {
     return machineSnapshots;
   }
@@ -242,7 +242,10 @@
     jobs.jobEnded(job, record);
   }
 
-  /** Another controller told a user so; the store's watch may tell the same sooner or later. */
+  /**
+   * Applies a cancellation that another controller confirmed to a user. The store's watch may
+   * report it before or after.
+   */
   private void applyConfirmedCancellation(String job) {
     if (!terminalStates.contains(job)) {
       audit.terminalStateLearned(job, "aborted", AuditLog.LearnedBy.PEER, 0);
@@ -332,7 +335,10 @@
     }
   }
 
-  /** A controller that is cut off from the store must learn from its peers that it was replaced. */
+  /**
+   * Sends a peer the assignments that it lacks. A controller that is cut off from the store learns
+   * from its peers that it was replaced.
+   */
   private void replyWithMissingAssignments(
       String sender, AssignmentRevisions known, Consumer<Object> reply) {
     AssignmentUpdate missing = cluster.missingFrom(known);
@@ -341,7 +347,7 @@
     }
   }
 
-  /** The scheduler reads the snapshots that are stored already, so the order matters. */
+  /** Stores the snapshots before notifying the scheduler, which reads the stored ones. */
   private void applySnapshots(String sender, SnapshotUpdate update) {
     machineSnapshots.apply(sender, update);
     jobs.snapshots(sender, update);
--- a/src/main/java/org/sandford/controller/PeerMessageRouter.java
+++ b/src/main/java/org/sandford/controller/PeerMessageRouter.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Dispatches the messages of other controllers by their type. Each type has one handler, registered
- * before the links start; a message without one is logged and dropped. Runs on the event loop.
+ * Dispatches messages from other controllers by type. Each type has one handler, registered before
+ * the links start; a message without one is logged and dropped. Runs on the event loop.
  */
 final class PeerMessageRouter {
   private static final Logger log = LoggerFactory.getLogger(PeerMessageRouter.class);
@@ -27,7 +27,7 @@
         type, (sender, request, reply) -> handler.handle(sender, type.cast(request), reply));
   }
 
-  /** Registers the handler of a request that is never replied to. */
+  /** Registers the handler of a request that gets no reply. */
   <T> void onRequest(Class<T> type, Consumer<T> handler) {
     onRequest(type, (sender, request, reply) -> handler.accept(request));
   }
@@ -36,7 +36,7 @@
     responseHandlers.put(type, (sender, response) -> handler.accept(sender, type.cast(response)));
   }
 
-  /** Registers the handler of a response that is the same from any sender. */
+  /** Registers the handler of a response whose sender does not matter. */
   <T> void onResponse(Class<T> type, Consumer<T> handler) {
     onResponse(type, (sender, response) -> handler.accept(response));
   }
--- a/src/main/java/org/sandford/controller/package-info.java
+++ b/src/main/java/org/sandford/controller/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Assembly of one controller: makes the slices, connects them, and routes messages between
- * controllers to the slice that handles them.
+ * Assembles one controller: creates and connects its components, and routes messages between
+ * controllers to the component that handles them.
  *
- * <p>Owns no state beyond the slices. Runs on the event loop. Called by {@code cli} and by tests;
- * nothing below it knows it.
+ * <p>Keeps only the components and the assignment revisions that it last sent. Runs on the event
+ * loop. Called by {@code cli} and by tests; the components don't depend on it.
  */
 package org.sandford.controller;
--- a/src/main/java/org/sandford/settings/Settings.java
+++ b/src/main/java/org/sandford/settings/Settings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checked settings of one controller: the platform's TOML and the operators' INI together. */
+/** Validated settings of one controller, from the platform's TOML and the operators' INI file. */
 public record Settings(
     String label,
     String zone,
@@ -27,20 +27,20 @@
   public record Other(String label, String zone, Endpoint address) {}
 
   /**
-   * A team's guarantee and limit, in CPUs and accelerators. A guarantee of 0 is none; a limit may
-   * be {@link #NO_LIMIT}.
+   * A team's guarantees and limits in CPUs and accelerators. A guarantee of 0 means none; a limit
+   * may be {@link #NO_LIMIT}.
    */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-    /** The limit of a team that may use all that others leave. */
+    /** The limit of a team that may use everything that other teams leave free. */
     public static final double NO_LIMIT = Double.POSITIVE_INFINITY;
 
-    /** A team as the platform's facts give it, where a value of 0 means none. */
+    /** Creates a team from the platform's facts, where a value of 0 means none. */
     public static Team ofFacts(
         String name, double cpus, double cpusMax, double gpus, double gpusMax) {
       return new Team(name, cpus, limitOrNone(cpusMax), gpus, limitOrNone(gpusMax));
     }
 
-    /** Whether anything is guaranteed to the team. */
+    /** Returns whether the team has any guarantee. */
     public boolean hasGuarantee() {
       return cpus > 0 || gpus > 0;
     }
@@ -51,9 +51,8 @@
   }
 
   /**
-   * What the platform tells of the deployment. The store's limits are the smaller of those in force
-   * and those announced in {@code state.next}, since the store may change to the latter at any
-   * moment.
+   * The platform's description of the deployment. Each limit of the store is the smaller of the
+   * current one and the one announced in {@code state.next}, which the store may apply at any time.
    */
   public record Facts(
       List<String> zones,
@@ -72,6 +71,6 @@
       int sockets,
       int controllers) {}
 
-  /** What the operators may set beside the platform's file. */
+  /** The settings of the operators' file. */
   public record Operators(int maxMachines, boolean useSpot, double idleReturnS) {}
 }
--- a/src/main/java/org/sandford/settings/SettingsException.java
+++ b/src/main/java/org/sandford/settings/SettingsException.java
@@ -1,12 +1,13 @@
 package org.sandford.settings;
 
 /**
- * Settings that can't be used; the message is one line that names file, key and what is expected.
+ * Thrown when settings are invalid; the message is one line that names the file, the key and the
+ * expected value.
  */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Makes one with its one-line message. */
+  /** Creates an exception with a one-line message. */
   public SettingsException(String message) {
     super(message);
   }
--- a/src/main/java/org/sandford/settings/SettingsLoader.java
+++ b/src/main/java/org/sandford/settings/SettingsLoader.java
@@ -21,7 +21,7 @@
 import org.sandford.constants.GangConstants;
 import org.sandford.constants.ScalingConstants;
 
-/** Reads and checks the platform's TOML file and the operators' INI file. */
+/** Reads and validates the platform's TOML file and the operators' INI file. */
 public final class SettingsLoader {
   private static final Set<String> INI_KEYS =
       Set.of("fleet.max_machines", "fleet.use_spot", "fleet.idle_return_s");
@@ -33,7 +33,7 @@
    *
    * @param toml the platform's file
    * @param ini the operators' file, or null for the defaults
-   * @throws SettingsException when a file cannot be read or holds a value that cannot be used
+   * @throws SettingsException if a file cannot be read or holds an invalid value
    */
   public static Settings load(Path toml, Path ini) throws SettingsException {
     JsonNode root;
@@ -47,7 +47,7 @@
     return parse(toml.toString(), root, loadOperators(ini));
   }
 
-  /** Checks settings that were read already; {@code file} is named in complaints. */
+  /** Validates parsed settings; error messages name {@code file}. */
   static Settings parse(String file, JsonNode root, Settings.Operators operators)
       throws SettingsException {
     Section top = new Section(file, "", root);
@@ -107,7 +107,7 @@
     return settings;
   }
 
-  /** Reads the operators' INI file; without one the defaults hold. */
+  /** Reads the operators' INI file; uses the defaults if it is null. */
   static Settings.Operators loadOperators(Path ini) throws SettingsException {
     INIConfiguration config = new INIConfiguration();
     if (ini != null) {
@@ -150,7 +150,7 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      // Falls through to the complaint below, which tells all that the parser would.
+      // The error below names the invalid text.
     }
     throw new SettingsException(
         ini + ": " + key + ": expected a number of at least " + min + ", got " + text);
@@ -160,15 +160,15 @@
     return text == null ? "unknown error" : text.replaceAll("\\s+", " ").trim();
   }
 
-  /** The limits of the state service that hold at any moment. */
+  /** The limits of the store, valid now and after the announced change. */
   private record StateLimits(
       double requestsPerSecond,
       double changesPerSecond,
       int valueBytes,
       int changesPerTransaction) {
     /**
-     * The smaller of what is in force and of what {@code next} announces; a lacking one stays as it
-     * is.
+     * Returns the smaller of each current limit and the one that {@code next} announces; a limit
+     * that is missing there does not change.
      */
     static StateLimits read(Section state) throws SettingsException {
       return new StateLimits(
@@ -185,7 +185,7 @@
     }
   }
 
-  /** A table of the TOML file that knows its own name, for complaints. */
+  /** A table of the TOML file, with its path for error messages. */
   private record Section(String file, String path, JsonNode node) {
     private SettingsException invalid(String key, String expected) {
       return new SettingsException(file + ": " + path + key + ": expected " + expected);
@@ -199,7 +199,7 @@
       return new Section(file, path + key + ".", value);
     }
 
-    /** The table, or null when there is none. */
+    /** Returns the table, or null if there is none. */
     Section optionalSection(String key) throws SettingsException {
       return node.path(key).isMissingNode() ? null : section(key);
     }
@@ -225,7 +225,7 @@
     String text(String key) throws SettingsException {
       JsonNode value = node.path(key);
       if (!value.isTextual() || value.asText().isEmpty()) {
-        throw invalid(key, "a text that is not empty");
+        throw invalid(key, "a non-empty string");
       }
       return value.asText();
     }
@@ -235,12 +235,12 @@
       List<String> result = new ArrayList<>();
       for (JsonNode item : value) {
         if (!item.isTextual()) {
-          throw invalid(key, "a list of texts");
+          throw invalid(key, "a list of strings");
         }
         result.add(item.asText());
       }
       if (result.isEmpty()) {
-        throw invalid(key, "a list of texts that is not empty");
+        throw invalid(key, "a non-empty list of strings");
       }
       return List.copyOf(result);
     }
@@ -264,7 +264,7 @@
           return new Settings.Endpoint(parsed.getHost(), parsed.getPort());
         }
       } catch (IllegalArgumentException e) {
-        // The complaint below says what was expected.
+        // The error below tells the expected form.
       }
       throw invalid(key, "an address like 10.0.0.1:8080, got " + text);
     }
--- a/src/main/java/org/sandford/settings/package-info.java
+++ b/src/main/java/org/sandford/settings/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The settings of one controller: the platform's TOML file and the operators' INI file, read and
- * checked once before anything starts.
+ * The settings of one controller, from the platform's TOML file and the operators' INI file; read
+ * and validated once at startup.
  *
- * <p>Values only, immutable, usable from any thread. Called by {@code cli}, which passes them on.
+ * <p>Settings are immutable and thread-safe. {@code cli} loads them and passes them on.
  */
 package org.sandford.settings;
