--- a/src/main/java/org/sandford/api/CancellationHandler.java
+++ b/src/main/java/org/sandford/api/CancellationHandler.java
@@ -9,42 +9,42 @@
 import org.sandford.model.HttpStatus;
 
 /**
- * Handles {@code POST /work/{id}/abort}: cancels a job of an owned team here, and has any other
- * cancelled by the owner of its team.
+ * Handles {@code POST /work/{id}/abort}: cancels jobs of teams that this controller owns, and
+ * forwards other cancellations to the owner of the job's team.
  *
- * <p>Has no state of its own; runs on the event loop.
+ * <p>Stateless; runs on the event loop.
  */
 public final class CancellationHandler {
   private final JobScheduler jobs;
   private final JobReader jobReader;
   private final OwnerForwarding forwarding;
 
-  /** Other owners are reached through {@code forwarding}. */
+  /** Creates a handler that reaches other owners through {@code forwarding}. */
   public CancellationHandler(JobScheduler jobs, JobReader jobReader, OwnerForwarding forwarding) {
     this.jobs = jobs;
     this.jobReader = jobReader;
     this.forwarding = forwarding;
   }
 
-  /** Handles the cancellation of the job of a well-formed id. */
+  /** Cancels a job; {@code id} must be well formed. */
   void handle(String id, Consumer<ApiResponse> answer) {
     if (jobs.abort(id, answer)) {
       return;
     }
     String team = jobReader.teamOf(id);
     if (team != null) {
-      haveOwnerCancel(id, team, answer);
+      cancelAtOwner(id, team, answer);
     } else {
-      jobReader.read(id, found -> handleRead(id, found, answer));
+      jobReader.read(id, result -> answerFromRead(id, result, answer));
     }
   }
 
-  private void handleRead(String id, JobReadResult found, Consumer<ApiResponse> answer) {
-    if (found instanceof JobReadResult.Terminal) {
+  private void answerFromRead(String id, JobReadResult result, Consumer<ApiResponse> answer) {
+    if (result instanceof JobReadResult.Terminal) {
       jobs.answers().ended(id).ifPresent(answer);
-    } else if (found instanceof JobReadResult.Open open) {
-      haveOwnerCancel(id, open.spec().team(), answer);
-    } else if (found instanceof JobReadResult.Absent) {
+    } else if (result instanceof JobReadResult.Open open) {
+      cancelAtOwner(id, open.spec().team(), answer);
+    } else if (result instanceof JobReadResult.Absent) {
       answer.accept(ApiResponse.refuse(HttpStatus.NOT_FOUND, "no job has this id"));
     } else {
       answer.accept(
@@ -53,7 +53,7 @@
     }
   }
 
-  private void haveOwnerCancel(String id, String team, Consumer<ApiResponse> answer) {
+  private void cancelAtOwner(String id, String team, Consumer<ApiResponse> answer) {
     forwarding.cancel(
         id,
         team,
--- a/src/main/java/org/sandford/api/OwnerForwarding.java
+++ b/src/main/java/org/sandford/api/OwnerForwarding.java
@@ -22,20 +22,21 @@
 import org.sandford.runtime.Json;
 
 /**
- * Passes requests on to the controller that owns the job's team; this one serves those of its own
- * teams. Owns the calls that wait for another controller's response.
+ * Forwards requests to the controller that owns the job's team, and handles those for this
+ * controller's own teams locally. Tracks the calls that await another controller's response.
  *
- * <p>Each call ends in exactly one way: with the owner's answer, or as unreachable when there is no
- * link to the owner or no response within {@link ApiConstants#FORWARD_TIMEOUT_MS}. The owner may
- * have carried out a call that ends as unreachable.
+ * <p>Each call runs exactly one callback: {@code answer} with the owner's answer, or {@code
+ * onUnreachable} if there is no link to the owner or no response within {@link
+ * ApiConstants#FORWARD_TIMEOUT_MS}. The owner may have executed a request that timed out.
  *
  * <p>Runs on the event loop.
  */
 public final class OwnerForwarding {
   private static final ByteBuffer NO_BODY = ByteBuffer.allocate(0);
 
-  /** A call that waits for the response of {@code owner}. */
-  private record PendingCall(String owner, Consumer<ApiResponse> answer, EventLoop.Timer timeout) {}
+  /** A call that awaits the response of the controller {@code ownerLabel}. */
+  private record PendingCall(
+      String ownerLabel, Consumer<ApiResponse> answer, EventLoop.Timer timeout) {}
 
   private final EventLoop loop;
   private final String ownLabel;
@@ -44,11 +45,11 @@
   private final TerminalStates terminalStates;
   private final ForwardedRequestHandler localHandler;
   private final Map<Long, PendingCall> pendingCalls = new HashMap<>();
-  private long lastCall;
+  private long lastCallId;
 
   /**
    * @param ownLabel the label of this controller
-   * @param localHandler serves requests about teams of this controller
+   * @param localHandler handles requests for this controller's teams
    */
   public OwnerForwarding(
       EventLoop loop,
@@ -65,65 +66,65 @@
     this.localHandler = localHandler;
   }
 
-  /** Has the owner of the job's team accept a job. */
-  void submit(JobSpec spec, Consumer<ApiResponse> answer, Runnable unreachable) {
-    call(
+  /** Submits a job to the owner of its team. */
+  void submit(JobSpec spec, Consumer<ApiResponse> answer, Runnable onUnreachable) {
+    forward(
         spec.team(),
         UserRequestKind.SUBMIT,
         spec.id(),
         ForwardedSpec.encode(spec),
         answer,
-        unreachable);
+        onUnreachable);
   }
 
-  /** Asks the owner of the team for the state of a job. */
-  void poll(String id, String team, Consumer<ApiResponse> answer, Runnable unreachable) {
-    call(team, UserRequestKind.POLL, id, NO_BODY, answer, unreachable);
+  /** Requests the state of a job from the owner of the team. */
+  void poll(String id, String team, Consumer<ApiResponse> answer, Runnable onUnreachable) {
+    forward(team, UserRequestKind.POLL, id, NO_BODY, answer, onUnreachable);
   }
 
-  /** Has the owner of the team cancel a job. */
-  void cancel(String id, String team, Consumer<ApiResponse> answer, Runnable unreachable) {
-    call(team, UserRequestKind.CANCEL, id, NO_BODY, answer, unreachable);
+  /** Requests the cancellation of a job from the owner of the team. */
+  void cancel(String id, String team, Consumer<ApiResponse> answer, Runnable onUnreachable) {
+    forward(team, UserRequestKind.CANCEL, id, NO_BODY, answer, onUnreachable);
   }
 
-  private void call(
+  private void forward(
       String team,
       UserRequestKind kind,
       String id,
       ByteBuffer body,
       Consumer<ApiResponse> answer,
-      Runnable unreachable) {
-    ForwardedRequest request = new ForwardedRequest(++lastCall, kind.wireName(), id, body);
-    TeamAssignment owner = cluster.teams().of().get(team);
-    String ownerLabel = owner == null ? "" : Cluster.labelOf(owner.owner());
+      Runnable onUnreachable) {
+    ForwardedRequest request = new ForwardedRequest(++lastCallId, kind.wireName(), id, body);
+    TeamAssignment assignment = cluster.teams().of().get(team);
+    String ownerLabel = assignment == null ? "" : Cluster.labelOf(assignment.owner());
     if (ownerLabel.equals(ownLabel)) {
       localHandler.handle(request, answer);
     } else if (links.request(ownerLabel, request)) {
-      awaitResponse(request.call, ownerLabel, answer, unreachable);
+      awaitResponse(request.call, ownerLabel, answer, onUnreachable);
     } else {
-      unreachable.run();
+      onUnreachable.run();
     }
   }
 
   private void awaitResponse(
-      long call, String ownerLabel, Consumer<ApiResponse> answer, Runnable unreachable) {
+      long callId, String ownerLabel, Consumer<ApiResponse> answer, Runnable onUnreachable) {
     EventLoop.Timer timeout =
         loop.after(
             ApiConstants.FORWARD_TIMEOUT_MS,
             () -> {
-              if (pendingCalls.remove(call) != null) {
-                unreachable.run();
+              if (pendingCalls.remove(callId) != null) {
+                onUnreachable.run();
               }
             });
-    pendingCalls.put(call, new PendingCall(ownerLabel, answer, timeout));
+    pendingCalls.put(callId, new PendingCall(ownerLabel, answer, timeout));
   }
 
-  /** Serves a request that another controller forwarded to this one. */
+  /** Handles a request that another controller forwarded to this one. */
   void handleRequest(ForwardedRequest request, Consumer<Object> reply) {
-    localHandler.handleRemote(request, reply);
+    localHandler.handleForwarded(request, reply);
   }
 
-  /** Takes the response of another controller; one that comes after the timeout is dropped. */
+  /** Handles the response of another controller; drops one that arrives after the timeout. */
   void handleResponse(ForwardedResponse response) {
     PendingCall pending = pendingCalls.remove(response.call);
     if (pending == null) {
@@ -131,12 +132,15 @@
     }
     pending.timeout.cancel();
     JsonNode body = Json.read(response.body);
-    ObjectNode object = body.isObject() ? (ObjectNode) body : Json.object();
+    ObjectNode answerBody = body.isObject() ? (ObjectNode) body : Json.object();
     ApiResponse answer =
         new ApiResponse(
-            response.status, object, response.retryAfterS, new Provenance.Forwarded(pending.owner));
+            response.status,
+            answerBody,
+            response.retryAfterS,
+            new Provenance.Forwarded(pending.ownerLabel));
     if (answer.status() == HttpStatus.OK && TerminalState.isTerminal(answer.state())) {
-      terminalStates.put(object.path("name_id").asText(), TerminalState.of(answer.state()));
+      terminalStates.put(answerBody.path("name_id").asText(), TerminalState.of(answer.state()));
     }
     pending.answer.accept(answer);
   }
--- a/src/main/java/org/sandford/api/SubmissionHandler.java
+++ b/src/main/java/org/sandford/api/SubmissionHandler.java
@@ -13,36 +13,36 @@
 import org.sandford.settings.Settings;
 
 /**
- * Handles {@code POST /work}: checks the job, and has the owner of its team accept it. If the owner
- * cannot, this controller stores the job on the owner's behalf.
+ * Handles {@code POST /work}: validates the job and submits it to the owner of its team. If the
+ * owner is unreachable or answers 503, this controller stores the job on the owner's behalf.
  *
- * <p>Has no state of its own; runs on the event loop.
+ * <p>Stateless; runs on the event loop.
  */
 public final class SubmissionHandler {
   private final Settings settings;
   private final Autoscaler autoscaler;
-  private final RecordVersions versions;
+  private final RecordVersions recordVersions;
   private final JobScheduler jobs;
   private final JobReader jobReader;
   private final OwnerForwarding forwarding;
 
-  /** Jobs are checked against the instance types that {@code autoscaler} knows. */
+  /** Creates a handler that checks jobs against the instance types of {@code autoscaler}. */
   public SubmissionHandler(
       Settings settings,
       Autoscaler autoscaler,
-      RecordVersions versions,
+      RecordVersions recordVersions,
       JobScheduler jobs,
       JobReader jobReader,
       OwnerForwarding forwarding) {
     this.settings = settings;
     this.autoscaler = autoscaler;
-    this.versions = versions;
+    this.recordVersions = recordVersions;
     this.jobs = jobs;
     this.jobReader = jobReader;
     this.forwarding = forwarding;
   }
 
-  /** Handles a submission; {@code body} is a missing node when it was not JSON. */
+  /** Handles a submission; {@code body} is a missing node if it was not JSON. */
   void handle(JsonNode body, Consumer<ApiResponse> answer) {
     JobSpec spec;
     try {
@@ -55,10 +55,10 @@
       }
       JobFeasibility.check(spec, settings.facts().teams(), autoscaler.instanceTypes());
     } catch (JobRejectedException rejection) {
-      reject(JobParser.idOf(body), rejection, answer);
+      answerRejection(JobParser.validIdOrEmpty(body), rejection, answer);
       return;
     }
-    if (spec.gang() && !versions.allKnowGangs()) {
+    if (spec.gang() && !recordVersions.allKnowGangs()) {
       answer.accept(
           ApiResponse.later(
               HttpStatus.SERVICE_UNAVAILABLE,
@@ -67,10 +67,10 @@
       return;
     }
     jobReader.remember(spec);
-    haveOwnerAccept(spec, answer);
+    submitToOwner(spec, answer);
   }
 
-  private void haveOwnerAccept(JobSpec spec, Consumer<ApiResponse> answer) {
+  private void submitToOwner(JobSpec spec, Consumer<ApiResponse> answer) {
     forwarding.submit(
         spec,
         ownerAnswer -> {
@@ -83,8 +83,9 @@
         () -> jobs.storeOnBehalfOfOwner(spec, answer));
   }
 
-  /** A job that was accepted once stays accepted, even if a repeat of it would now be rejected. */
-  private void reject(String id, JobRejectedException rejection, Consumer<ApiResponse> answer) {
+  /** Rejects a job unless it was accepted before, since an accepted job stays accepted. */
+  private void answerRejection(
+      String id, JobRejectedException rejection, Consumer<ApiResponse> answer) {
     ApiResponse refusal = ApiResponse.refuse(rejection.status(), rejection.getMessage());
     if (id.isEmpty()) {
       answer.accept(refusal);
@@ -92,6 +93,9 @@
     }
     jobs.answers()
         .fromStore(
-            id, found -> answer.accept(found.status() == HttpStatus.NOT_FOUND ? refusal : found));
+            id,
+            storeAnswer ->
+                answer.accept(
+                    storeAnswer.status() == HttpStatus.NOT_FOUND ? refusal : storeAnswer));
   }
 }
--- a/src/main/java/org/sandford/api/UserAnswers.java
+++ b/src/main/java/org/sandford/api/UserAnswers.java
@@ -11,11 +11,11 @@
 import org.sandford.runtime.EventLoop;
 
 /**
- * The way of every answer to a user about a job: it comes within the deadline, is no older than
- * what is known here when it leaves, is recorded in the audit log, and the other controllers hear
- * of a cancellation before the user does.
+ * Processes every answer to a user about a job. Enforces the deadline, replaces an answer that is
+ * older than a terminal state known here, notifies the other controllers of a confirmed
+ * cancellation before the user, and writes the audit log.
  *
- * <p>Owns the response times of submissions; runs on the event loop.
+ * <p>Records the response times of submissions; runs on the event loop.
  */
 public final class UserAnswers {
   private static final int MAX_RECORDED_MS = 60_000;
@@ -25,9 +25,12 @@
   private final JobAnswers jobAnswers;
   private final Cancellations cancellations;
   private final AuditLog audit;
-  private final Histogram submitMillis = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
+  private final Histogram submissionMillis = new Histogram(MAX_RECORDED_MS, SIGNIFICANT_DIGITS);
 
-  /** Newer ends come from {@code jobAnswers}; {@code cancellations} tells the other controllers. */
+  /**
+   * Creates an instance that looks up terminal states in {@code jobAnswers} and notifies the other
+   * controllers through {@code cancellations}.
+   */
   public UserAnswers(
       EventLoop loop, JobAnswers jobAnswers, Cancellations cancellations, AuditLog audit) {
     this.loop = loop;
@@ -36,42 +39,45 @@
     this.audit = audit;
   }
 
-  /** Times from a submission's arrival here to its answer, in milliseconds. */
-  Histogram submitMillis() {
-    return submitMillis;
+  /** Returns the response times of submissions to this controller, in milliseconds. */
+  Histogram submissionMillis() {
+    return submissionMillis;
   }
 
   /**
-   * The receiver of answers to a request that has just arrived.
+   * Returns the receiver of answers to a request that has just arrived.
    *
-   * @param id the job asked about, or an empty text when the request names none
+   * @param id the id of the job, or an empty string if the request has no valid one
    */
-  Consumer<ApiResponse> receiver(UserRequestKind kind, String id, Consumer<ApiResponse> user) {
-    Consumer<ApiResponse> measured = kind == UserRequestKind.SUBMIT ? timed(user) : user;
+  Consumer<ApiResponse> guardedReceiver(
+      UserRequestKind kind, String id, Consumer<ApiResponse> userReceiver) {
+    Consumer<ApiResponse> receiver =
+        kind == UserRequestKind.SUBMIT ? withTiming(userReceiver) : userReceiver;
     return new FirstAnswer(
-        loop, kind.deadlineMs(), answer -> measured.accept(leaving(kind, id, answer)));
+        loop, kind.deadlineMs(), answer -> receiver.accept(finish(kind, id, answer)));
   }
 
-  private Consumer<ApiResponse> timed(Consumer<ApiResponse> user) {
+  private Consumer<ApiResponse> withTiming(Consumer<ApiResponse> userReceiver) {
     long arrivedAt = loop.millis();
     return answer -> {
-      submitMillis.recordValue(Math.min(MAX_RECORDED_MS, Math.max(0, loop.millis() - arrivedAt)));
-      user.accept(answer);
+      submissionMillis.recordValue(
+          Math.min(MAX_RECORDED_MS, Math.max(0, loop.millis() - arrivedAt)));
+      userReceiver.accept(answer);
     };
   }
 
-  private ApiResponse leaving(UserRequestKind kind, String id, ApiResponse answer) {
-    ApiResponse newest = claimsOpen(answer) ? jobAnswers.ended(id).orElse(answer) : answer;
-    if (newest.status() == HttpStatus.OK
-        && newest.state().equals(TerminalState.CANCELLED.wireName())) {
+  private ApiResponse finish(UserRequestKind kind, String id, ApiResponse answer) {
+    ApiResponse current = reportsOpenJob(answer) ? jobAnswers.ended(id).orElse(answer) : answer;
+    if (current.status() == HttpStatus.OK
+        && current.state().equals(TerminalState.CANCELLED.wireName())) {
       cancellations.confirmed(id);
     }
-    audit.answered(kind.wireName(), id, newest.status(), newest.state(), newest.basis());
-    return newest;
+    audit.answered(kind.wireName(), id, current.status(), current.state(), current.basis());
+    return current;
   }
 
-  /** Whether the answer says that the job has not ended, which may be out of date by now. */
-  private static boolean claimsOpen(ApiResponse answer) {
+  /** Returns whether the answer reports an open job, which may be out of date by now. */
+  private static boolean reportsOpenJob(ApiResponse answer) {
     return answer.status() == HttpStatus.CREATED
         || (answer.status() == HttpStatus.OK && !TerminalState.isTerminal(answer.state()));
   }
--- a/src/main/java/org/sandford/cli/ArchiveWarmUp.java
+++ b/src/main/java/org/sandford/cli/ArchiveWarmUp.java
@@ -23,11 +23,11 @@
 import org.sandford.settings.SettingsLoader;
 
 /**
- * Loads the classes that a start needs, for the class-data archive that the build makes: a
- * controller runs for a moment on the loopback interface against itself.
+ * Loads the classes needed at startup, which the build records in the class-data archive. Briefly
+ * runs a controller on the loopback interface, with itself as peer, store and cloud.
  */
 final class ArchiveWarmUp {
-  private static final String SETTINGS =
+  private static final String SETTINGS_TEMPLATE =
       """
       label = "warm-up"
       zone = "z"
@@ -74,16 +74,16 @@
   static int run() {
     try {
       int port = freePort();
-      Path file = Files.createTempFile("sandford", ".toml");
-      Files.writeString(file, SETTINGS.formatted(port, freePort()));
-      Settings settings = SettingsLoader.load(file, null);
-      Files.delete(file);
+      Path settingsFile = Files.createTempFile("sandford", ".toml");
+      Files.writeString(settingsFile, SETTINGS_TEMPLATE.formatted(port, freePort()));
+      Settings settings = SettingsLoader.load(settingsFile, null);
+      Files.delete(settingsFile);
       FrameCodec codec = new FrameCodec();
       codec.decode(codec.encode(new MachineDiscovered("m", "a", "k", "z", false)));
       runController(settings);
       return 0;
     } catch (IOException | SettingsException | InterruptedException e) {
-      System.err.println("sandford: the warm-up failed: " + e);
+      System.err.println("sandford: warm-up failed: " + e);
       return 1;
     }
   }
@@ -105,46 +105,46 @@
             loop,
             100,
             (method, path, body, answer) -> {
-              ObjectNode known = storeAnswer(path);
-              if (known != null) {
-                answer.accept(ApiResponse.of(200, known));
+              ObjectNode response = serviceResponse(path);
+              if (response != null) {
+                answer.accept(ApiResponse.of(200, response));
               } else {
                 controller.api().take(method, path, body, answer);
               }
             });
     server.listen(settings.listen().host(), settings.listen().port());
     loop.execute(controller::start);
-    CountDownLatch over = new CountDownLatch(1);
+    CountDownLatch finished = new CountDownLatch(1);
     http.send(
         settings.listen().toString(),
         "POST",
         "/work",
         new byte[] {'{', '}'},
         1_000,
-        reply -> loop.after(1_500, over::countDown));
-    over.await(10, TimeUnit.SECONDS);
+        reply -> loop.after(1_500, finished::countDown));
+    finished.await(10, TimeUnit.SECONDS);
     loop.shutdown();
   }
 
-  /** Enough of a store and a cloud for a controller to join and look around. */
-  private static ObjectNode storeAnswer(String path) {
-    ObjectNode answer = Json.object().put("epoch", 1).put("permit", 1).put("more", false);
+  /** Returns a minimal response of the store or the cloud; null for any other path. */
+  private static ObjectNode serviceResponse(String path) {
+    ObjectNode response = Json.object().put("epoch", 1).put("permit", 1).put("more", false);
     if (path.startsWith("/store?")
         || path.equals("/txn")
         || path.startsWith("/holds")
         || path.startsWith("/machines")) {
-      answer.putArray("entries");
-      return answer;
+      response.putArray("entries");
+      return response;
     }
     if (path.equals("/flavors")) {
-      answer
+      response
           .putArray("machine_kinds")
           .addObject()
           .put("sku", "k")
           .put("vcpus", 1)
           .putArray("sites")
           .add("z");
-      return answer;
+      return response;
     }
     return null;
   }
