--- a/src/main/java/org/sandford/net/NettyHttpClient.java
+++ b/src/main/java/org/sandford/net/NettyHttpClient.java
@@ -50,22 +50,22 @@
 
   private final NettyLoop loop;
   private final Bootstrap bootstrap;
-  private final Map<String, ArrayDeque<Connection>> idle = new HashMap<>();
+  private final Map<String, ArrayDeque<Connection>> idleByAddress = new HashMap<>();
   private final Set<Connection> idleWorkerConnections = new LinkedHashSet<>();
   private final ArrayDeque<Runnable> waitingConnects = new ArrayDeque<>();
-  private final Set<String> services;
+  private final Set<String> serviceAddresses;
   private final int maxWorkerConnections;
   private int workerConnections;
 
   /**
    * A client without connections.
    *
-   * @param services the addresses that are not workers
+   * @param serviceAddresses the addresses that are not workers
    * @param maxWorkerConnections the most connections to workers that are open at a time
    */
-  public NettyHttpClient(NettyLoop loop, Set<String> services, int maxWorkerConnections) {
+  public NettyHttpClient(NettyLoop loop, Set<String> serviceAddresses, int maxWorkerConnections) {
     this.loop = loop;
-    this.services = Set.copyOf(services);
+    this.serviceAddresses = Set.copyOf(serviceAddresses);
     this.maxWorkerConnections = maxWorkerConnections;
     this.bootstrap =
         new Bootstrap()
@@ -82,7 +82,7 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Consumer<Reply> done) {
+      Consumer<Reply> onReply) {
     byte[] content = body == null ? new byte[0] : body;
     FullHttpRequest request =
         new DefaultFullHttpRequest(
@@ -95,9 +95,9 @@
     if (body != null) {
       request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
     }
-    Call call = new Call(done);
+    Call call = new Call(onReply);
     call.timer = loop.after(timeoutMs, call::timeout);
-    ArrayDeque<Connection> idleConnections = idle.get(address);
+    ArrayDeque<Connection> idleConnections = idleByAddress.get(address);
     while (idleConnections != null && !idleConnections.isEmpty()) {
       Connection connection = idleConnections.pollLast();
       idleWorkerConnections.remove(connection);
@@ -106,7 +106,7 @@
         return;
       }
     }
-    if (services.contains(address)) {
+    if (serviceAddresses.contains(address)) {
       connect(address, call, request);
     } else {
       waitingConnects.addLast(() -> connect(address, call, request));
@@ -120,9 +120,9 @@
     }
     if (!waitingConnects.isEmpty() && !idleWorkerConnections.isEmpty()) {
       // Once it is closed, the next request may connect.
-      Connection oldest = idleWorkerConnections.iterator().next();
-      idleWorkerConnections.remove(oldest);
-      Channels.close(oldest.channel);
+      Connection longestIdle = idleWorkerConnections.iterator().next();
+      idleWorkerConnections.remove(longestIdle);
+      Channels.close(longestIdle.channel);
     }
   }
 
@@ -133,18 +133,18 @@
     }
     HostAndPort target = HostAndPort.fromString(address);
     Connection connection = new Connection(address);
-    boolean isWorker = !services.contains(address);
-    workerConnections += isWorker ? 1 : 0;
+    boolean toWorker = !serviceAddresses.contains(address);
+    workerConnections += toWorker ? 1 : 0;
     bootstrap
         .clone()
         .handler(pipelineOf(connection))
         .connect(new InetSocketAddress(target.getHost(), target.getPort()))
         .addListener(
             (ChannelFuture future) -> {
-              if (isWorker) {
+              if (toWorker) {
                 future.channel().closeFuture().addListener(closed -> workerConnectionClosed());
               }
-              connected(future, connection, call, request);
+              connectCompleted(future, connection, call, request);
             });
   }
 
@@ -165,7 +165,7 @@
     connectWaiting();
   }
 
-  private static void connected(
+  private static void connectCompleted(
       ChannelFuture future, Connection connection, Call call, FullHttpRequest request) {
     if (!future.isSuccess()) {
       Channels.close(future.channel());
@@ -177,7 +177,7 @@
     if (call.finished) {
       // The caller got NOT_SENT at its timeout, so the request may not be sent any more.
       request.release();
-      connection.park();
+      connection.returnToPool();
     } else {
       connection.start(call, request);
     }
@@ -185,13 +185,13 @@
 
   /** One request; answered exactly once. */
   private static final class Call {
-    private final Consumer<Reply> done;
+    private final Consumer<Reply> onReply;
     private Connection connection;
     private EventLoop.Timer timer;
     private boolean finished;
 
-    Call(Consumer<Reply> done) {
-      this.done = done;
+    Call(Consumer<Reply> onReply) {
+      this.onReply = onReply;
     }
 
     void timeout() {
@@ -201,10 +201,10 @@
       if (connection == null) {
         finish(NOT_SENT);
       } else {
-        Connection timedOut = connection;
+        Connection timedOutConnection = connection;
         finish(UNKNOWN);
-        timedOut.call = null;
-        Channels.close(timedOut.channel);
+        timedOutConnection.call = null;
+        Channels.close(timedOutConnection.channel);
       }
     }
 
@@ -215,7 +215,7 @@
           timer.cancel();
         }
         try {
-          done.accept(reply);
+          onReply.accept(reply);
         } catch (RuntimeException e) {
           // An exception of the receiver must not be handled as a broken connection.
           log.error("response handling failed", e);
@@ -233,15 +233,15 @@
       this.address = address;
     }
 
-    void start(Call next, FullHttpRequest request) {
-      call = next;
-      next.connection = this;
+    void start(Call newCall, FullHttpRequest request) {
+      call = newCall;
+      newCall.connection = this;
       Channels.send(channel, request);
     }
 
-    void park() {
-      idle.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(this);
-      if (!services.contains(address)) {
+    void returnToPool() {
+      idleByAddress.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(this);
+      if (!serviceAddresses.contains(address)) {
         idleWorkerConnections.add(this);
         connectWaiting();
       }
@@ -249,33 +249,33 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-      Call finished = call;
+      Call answeredCall = call;
       call = null;
       Reply reply = new Reply(response.status().code(), ByteBufUtil.getBytes(response.content()));
-      if (HttpUtil.isKeepAlive(response) && finished != null) {
-        park();
+      if (HttpUtil.isKeepAlive(response) && answeredCall != null) {
+        returnToPool();
       } else {
         Channels.close(ctx.channel());
       }
-      if (finished != null) {
-        finished.finish(reply);
+      if (answeredCall != null) {
+        answeredCall.finish(reply);
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       idleWorkerConnections.remove(this);
-      ArrayDeque<Connection> idleConnections = idle.get(address);
+      ArrayDeque<Connection> idleConnections = idleByAddress.get(address);
       if (idleConnections != null) {
         idleConnections.remove(this);
         if (idleConnections.isEmpty()) {
-          idle.remove(address);
+          idleByAddress.remove(address);
         }
       }
-      Call lost = call;
+      Call unansweredCall = call;
       call = null;
-      if (lost != null) {
-        lost.finish(UNKNOWN);
+      if (unansweredCall != null) {
+        unansweredCall.finish(UNKNOWN);
       }
     }
 
--- a/src/main/java/org/sandford/net/NettyHttpServer.java
+++ b/src/main/java/org/sandford/net/NettyHttpServer.java
@@ -46,29 +46,29 @@
 public final class NettyHttpServer {
   /** Answers a request by calling back once. */
   public interface Requests {
-    /** Handles a request; {@code answer} must be called exactly once. */
-    void take(String method, String path, byte[] body, Consumer<ApiResponse> answer);
+    /** Handles a request; {@code responder} must be called exactly once. */
+    void handle(String method, String path, byte[] body, Consumer<ApiResponse> responder);
   }
 
   private static final Logger log = LoggerFactory.getLogger(NettyHttpServer.class);
   private final NettyLoop loop;
-  private final Requests requests;
+  private final Requests requestHandler;
   private final int maxConnections;
   private final int maxWorkerConnections;
   private final Set<Connection> connections = new LinkedHashSet<>();
 
   /** Connections without a request under way, the one that was idle the longest first. */
-  private final Set<Connection> idleWorkers = new LinkedHashSet<>();
+  private final Set<Connection> idleWorkerConnections = new LinkedHashSet<>();
 
-  private final Set<Connection> idleUsers = new LinkedHashSet<>();
+  private final Set<Connection> idleUserConnections = new LinkedHashSet<>();
   private int workerConnections;
 
   /** A server for at most so many connections, which does not listen yet. */
-  public NettyHttpServer(NettyLoop loop, int maxConnections, Requests requests) {
+  public NettyHttpServer(NettyLoop loop, int maxConnections, Requests requestHandler) {
     this.loop = loop;
     this.maxConnections = maxConnections;
     this.maxWorkerConnections = (int) (maxConnections * ApiConstants.WORKER_CONNECTION_SHARE);
-    this.requests = requests;
+    this.requestHandler = requestHandler;
   }
 
   /**
@@ -104,16 +104,16 @@
     }
   }
 
-  private static FullHttpResponse response(ApiResponse answer) {
+  private static FullHttpResponse response(ApiResponse apiResponse) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
-            HttpResponseStatus.valueOf(answer.status()),
-            Unpooled.wrappedBuffer(Json.bytes(answer.body())));
+            HttpResponseStatus.valueOf(apiResponse.status()),
+            Unpooled.wrappedBuffer(Json.bytes(apiResponse.body())));
     response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
     response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-    if (answer.retryAfterS() > 0) {
-      response.headers().setInt(HttpHeaderNames.RETRY_AFTER, answer.retryAfterS());
+    if (apiResponse.retryAfterS() > 0) {
+      response.headers().setInt(HttpHeaderNames.RETRY_AFTER, apiResponse.retryAfterS());
     }
     return response;
   }
@@ -138,55 +138,56 @@
     }
   }
 
-  private void closeIdlest() {
-    Set<Connection> from = idleWorkers.isEmpty() ? idleUsers : idleWorkers;
-    if (!from.isEmpty()) {
-      Connection oldest = from.iterator().next();
-      from.remove(oldest);
-      Channels.close(oldest.channel);
+  private void closeLongestIdle() {
+    Set<Connection> candidates =
+        idleWorkerConnections.isEmpty() ? idleUserConnections : idleWorkerConnections;
+    if (!candidates.isEmpty()) {
+      Connection longestIdle = candidates.iterator().next();
+      candidates.remove(longestIdle);
+      Channels.close(longestIdle.channel);
     }
   }
 
   private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private Channel channel;
-    private boolean ofWorker;
+    private boolean usedByWorker;
     private boolean closeAfterResponse;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       channel = ctx.channel();
       if (connections.size() >= maxConnections) {
-        closeIdlest();
+        closeLongestIdle();
         // Its request is answered in any case; then the connection is closed.
         closeAfterResponse = true;
       }
       connections.add(this);
-      idleUsers.add(this);
+      idleUserConnections.add(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       connections.remove(this);
-      idleUsers.remove(this);
-      idleWorkers.remove(this);
-      workerConnections -= ofWorker ? 1 : 0;
+      idleUserConnections.remove(this);
+      idleWorkerConnections.remove(this);
+      workerConnections -= usedByWorker ? 1 : 0;
     }
 
     private void requestStarted(boolean isHeartbeat) {
-      idleUsers.remove(this);
-      idleWorkers.remove(this);
-      if (isHeartbeat != ofWorker) {
-        ofWorker = isHeartbeat;
+      idleUserConnections.remove(this);
+      idleWorkerConnections.remove(this);
+      if (isHeartbeat != usedByWorker) {
+        usedByWorker = isHeartbeat;
         workerConnections += isHeartbeat ? 1 : -1;
       }
     }
 
     /** Whether the connection stays open after an answer. */
-    private boolean staysOpen() {
-      if (closeAfterResponse || (ofWorker && workerConnections > maxWorkerConnections)) {
+    private boolean markIdleUnlessClosing() {
+      if (closeAfterResponse || (usedByWorker && workerConnections > maxWorkerConnections)) {
         return false;
       }
-      (ofWorker ? idleWorkers : idleUsers).add(this);
+      (usedByWorker ? idleWorkerConnections : idleUserConnections).add(this);
       return true;
     }
 
@@ -199,16 +200,20 @@
       }
       requestStarted(request.uri().startsWith(ApiConstants.HEARTBEAT_PATH));
       byte[] body = ByteBufUtil.getBytes(request.content());
-      requests.take(
-          request.method().name(), request.uri(), body, answer -> write(ctx, answer, keepAlive));
+      requestHandler.handle(
+          request.method().name(),
+          request.uri(),
+          body,
+          apiResponse -> write(ctx, apiResponse, keepAlive));
     }
 
-    private void write(ChannelHandlerContext ctx, ApiResponse answer, boolean requested) {
+    private void write(
+        ChannelHandlerContext ctx, ApiResponse apiResponse, boolean keepAliveRequested) {
       if (!channel.isActive()) {
         return;
       }
-      boolean keepAlive = requested && staysOpen();
-      FullHttpResponse response = response(answer);
+      boolean keepAlive = keepAliveRequested && markIdleUnlessClosing();
+      FullHttpResponse response = response(apiResponse);
       if (!keepAlive) {
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
       }
--- a/src/main/java/org/sandford/net/NettyLoop.java
+++ b/src/main/java/org/sandford/net/NettyLoop.java
@@ -42,14 +42,14 @@
   }
 
   @Override
-  public Timer after(long millis, Runnable what) {
-    Future<?> timer = loop.schedule(guarded(what), millis, TimeUnit.MILLISECONDS);
+  public Timer after(long millis, Runnable task) {
+    Future<?> timer = loop.schedule(loggingExceptions(task), millis, TimeUnit.MILLISECONDS);
     return () -> timer.cancel(false);
   }
 
   @Override
-  public void execute(Runnable what) {
-    loop.execute(guarded(what));
+  public void execute(Runnable task) {
+    loop.execute(loggingExceptions(task));
   }
 
   /** Ends the thread after at most a second; for the end of the process. */
@@ -63,30 +63,31 @@
    * the heartbeats of many workers come one by one. While few come, each is handled at once.
    */
   private static final class BatchingSelectStrategy implements SelectStrategy {
-    private long lastWaitAt = System.nanoTime();
+    private long lastWaitAtNanos = System.nanoTime();
 
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
       if (hasTasks) {
         return selectNow.get();
       }
-      long busyFor = System.nanoTime() - lastWaitAt;
-      if (busyFor < TimeConstants.BATCH_WINDOW_MS * TimeConstants.BATCH_IDLE_FACTOR * 1_000_000L) {
+      long nanosSinceLastWait = System.nanoTime() - lastWaitAtNanos;
+      if (nanosSinceLastWait
+          < TimeConstants.BATCH_WINDOW_MS * TimeConstants.BATCH_IDLE_FACTOR * 1_000_000L) {
         Thread.sleep(TimeConstants.BATCH_WINDOW_MS);
-        int ready = selectNow.get();
-        lastWaitAt = System.nanoTime();
-        return ready > 0 ? ready : SelectStrategy.SELECT;
+        int readyCount = selectNow.get();
+        lastWaitAtNanos = System.nanoTime();
+        return readyCount > 0 ? readyCount : SelectStrategy.SELECT;
       }
-      lastWaitAt = System.nanoTime();
+      lastWaitAtNanos = System.nanoTime();
       return SelectStrategy.SELECT;
     }
   }
 
   /** An exception in one event is logged, and ends neither the loop nor a repeating timer. */
-  private static Runnable guarded(Runnable what) {
+  private static Runnable loggingExceptions(Runnable task) {
     return () -> {
       try {
-        what.run();
+        task.run();
       } catch (RuntimeException e) {
         log.error("event failed", e);
       }
--- a/src/main/java/org/sandford/net/NettyPeers.java
+++ b/src/main/java/org/sandford/net/NettyPeers.java
@@ -31,12 +31,12 @@
 public final class NettyPeers implements PeerTransport {
   private static final Logger log = LoggerFactory.getLogger(NettyPeers.class);
   private final NettyLoop loop;
-  private final InetSocketAddress local;
+  private final InetSocketAddress listenAddress;
 
   /** Listens on this address when told to. */
   public NettyPeers(NettyLoop loop, String host, int port) {
     this.loop = loop;
-    this.local = new InetSocketAddress(host, port);
+    this.listenAddress = new InetSocketAddress(host, port);
   }
 
   @Override
@@ -58,24 +58,26 @@
   }
 
   @Override
-  public void listen(Supplier<Handler> handlers) {
+  public void listen(Supplier<Handler> handlerFactory) {
     new ServerBootstrap()
         .group(loop.group())
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childHandler(pipeline(handlers))
-        .bind(local)
+        .childHandler(pipeline(handlerFactory))
+        .bind(listenAddress)
         .addListener(
             future -> {
               if (!future.isSuccess()) {
                 log.error(
-                    "peer listen failed address={} cause=\"{}\"", local, future.cause().toString());
+                    "peer listen failed address={} cause=\"{}\"",
+                    listenAddress,
+                    future.cause().toString());
               }
             });
   }
 
-  private static ChannelInitializer<Channel> pipeline(Supplier<Handler> handlers) {
+  private static ChannelInitializer<Channel> pipeline(Supplier<Handler> handlerFactory) {
     return new ChannelInitializer<>() {
       @Override
       protected void initChannel(Channel channel) {
@@ -86,7 +88,7 @@
                 new FlushConsolidationHandler(PeerConstants.PEER_MAX_FRAMES_PER_FLUSH, true),
                 new LengthFieldBasedFrameDecoder(PeerConstants.PEER_MAX_FRAME_BYTES, 0, 4, 0, 4),
                 new LengthFieldPrepender(4),
-                new FrameHandler(handlers.get()));
+                new FrameHandler(handlerFactory.get()));
       }
     };
   }
--- a/src/main/java/org/sandford/peer/PeerLinks.java
+++ b/src/main/java/org/sandford/peer/PeerLinks.java
@@ -33,8 +33,8 @@
 
   /** Handles the requests of other controllers, and of this one to itself. */
   public interface RequestHandler {
-    /** Handles a request; {@code answer} may be called any number of times, also later. */
-    void handleRequest(String from, Object message, Consumer<Object> answer);
+    /** Handles a request; {@code reply} may be called any number of times, also later. */
+    void handleRequest(String sender, Object request, Consumer<Object> reply);
 
     /** The messages that a peer needs first on a new link. */
     Iterable<Object> greeting();
@@ -43,7 +43,7 @@
   /** Handles responses, and what other controllers publish. */
   public interface ResponseHandler {
     /** Handles a response or a published message. */
-    void handleResponse(String from, Object message);
+    void handleResponse(String sender, Object response);
 
     /** Requests to the peer are sent from now on. */
     void linkUp(String peer);
@@ -73,7 +73,7 @@
 
   private RequestHandler requestHandler;
   private ResponseHandler responseHandler;
-  private long lastSession;
+  private long lastSessionNumber;
 
   /**
    * Links to the other controllers that the settings name.
@@ -117,70 +117,70 @@
     if (isSelf(label)) {
       return true;
     }
-    OutboundLink out = outbound.get(label);
-    return out != null && out.state == OutboundState.LIVE;
+    OutboundLink link = outbound.get(label);
+    return link != null && link.state == OutboundState.LIVE;
   }
 
   /** The incarnation of the peer at the handshake of the last link to it, or an empty text. */
   public String incarnationIdOf(String label) {
-    OutboundLink out = outbound.get(label);
-    return out == null ? "" : out.incarnationId;
+    OutboundLink link = outbound.get(label);
+    return link == null ? "" : link.incarnationId;
   }
 
   /** Whether any other controller can be reached. */
   public boolean anyLive() {
-    return outbound.values().stream().anyMatch(out -> out.state == OutboundState.LIVE);
+    return outbound.values().stream().anyMatch(link -> link.state == OutboundState.LIVE);
   }
 
   /** Sends a request, without any guarantee that it arrives; false when there is no live link. */
-  public boolean request(String label, Object message) {
+  public boolean request(String label, Object request) {
     if (isSelf(label)) {
       loop.execute(
           () ->
               requestHandler.handleRequest(
                   label,
-                  message,
-                  answer -> loop.execute(() -> responseHandler.handleResponse(label, answer))));
+                  request,
+                  reply -> loop.execute(() -> responseHandler.handleResponse(label, reply))));
       return true;
     }
-    OutboundLink out = outbound.get(label);
-    if (out == null || out.state != OutboundState.LIVE) {
+    OutboundLink link = outbound.get(label);
+    if (link == null || link.state != OutboundState.LIVE) {
       return false;
     }
-    out.connection.send(codec.encode(message));
+    link.connection.send(codec.encode(request));
     return true;
   }
 
   /** Sends a request to all other controllers with a live link. */
-  public void requestAll(Object message) {
-    byte[] frame = codec.encode(message);
+  public void requestAll(Object request) {
+    byte[] frame = codec.encode(request);
     outbound.values().stream()
-        .filter(o -> o.state == OutboundState.LIVE)
-        .forEach(o -> o.connection.send(frame));
+        .filter(link -> link.state == OutboundState.LIVE)
+        .forEach(link -> link.connection.send(frame));
   }
 
   /** Sends a message to all controllers with a link to this one, and to this one. */
   public void publish(Object message) {
     if (!inbound.isEmpty()) {
       byte[] frame = codec.encode(message);
-      inbound.values().forEach(in -> in.connection.send(frame));
+      inbound.values().forEach(link -> link.connection.send(frame));
     }
     loop.execute(() -> responseHandler.handleResponse(settings.label(), message));
   }
 
   private void maintainLinks() {
-    long now = loop.millis();
-    for (OutboundLink out : outbound.values()) {
-      if (out.state == OutboundState.DISCONNECTED && incarnation.getAsLong() > 0) {
-        out.dial();
-      } else if (out.state != OutboundState.DISCONNECTED
-          && now - out.lastReceivedAt > PeerConstants.PEER_TIMEOUT_MS) {
-        out.end("no message in time");
+    long nowMillis = loop.millis();
+    for (OutboundLink link : outbound.values()) {
+      if (link.state == OutboundState.DISCONNECTED && incarnation.getAsLong() > 0) {
+        link.dial();
+      } else if (link.state != OutboundState.DISCONNECTED
+          && nowMillis - link.lastReceivedAtMillis > PeerConstants.PEER_TIMEOUT_MS) {
+        link.end("no message in time");
       }
     }
-    for (InboundLink in : List.copyOf(inbound.values())) {
-      if (now - in.lastReceivedAt > PeerConstants.PEER_TIMEOUT_MS) {
-        in.end("no message in time");
+    for (InboundLink link : List.copyOf(inbound.values())) {
+      if (nowMillis - link.lastReceivedAtMillis > PeerConstants.PEER_TIMEOUT_MS) {
+        link.end("no message in time");
       }
     }
   }
@@ -190,21 +190,21 @@
     private final Settings.Other peer;
     private OutboundState state = OutboundState.DISCONNECTED;
     private Connection connection;
-    private long lastReceivedAt;
+    private long lastReceivedAtMillis;
     private String incarnationId = "";
-    private int attempt;
+    private int currentAttempt;
 
     OutboundLink(Settings.Other peer) {
       this.peer = peer;
     }
 
-    private void transitionTo(OutboundState next) {
-      boolean was = state == OutboundState.LIVE;
-      state = next;
-      if (next == OutboundState.LIVE) {
+    private void transitionTo(OutboundState nextState) {
+      boolean wasLive = state == OutboundState.LIVE;
+      state = nextState;
+      if (nextState == OutboundState.LIVE) {
         log.info("peer link up peer={}", peer.label());
         responseHandler.linkUp(peer.label());
-      } else if (was) {
+      } else if (wasLive) {
         log.info("peer link down peer={}", peer.label());
         responseHandler.linkDown(peer.label());
       }
@@ -212,15 +212,15 @@
 
     void dial() {
       transitionTo(OutboundState.CONNECTING);
-      lastReceivedAt = loop.millis();
-      int ownAttempt = ++attempt;
+      lastReceivedAtMillis = loop.millis();
+      int ownAttempt = ++currentAttempt;
       // Each attempt has a handler of its own, so a late event of an older one changes nothing.
       transport.dial(
           peer.address().toString(),
           new PeerTransport.Handler() {
             @Override
             public void opened(Connection c) {
-              if (ownAttempt == attempt) {
+              if (ownAttempt == currentAttempt) {
                 OutboundLink.this.opened(c);
               } else {
                 c.close();
@@ -229,14 +229,14 @@
 
             @Override
             public void frame(Connection c, byte[] bytes) {
-              if (ownAttempt == attempt) {
+              if (ownAttempt == currentAttempt) {
                 OutboundLink.this.frame(c, bytes);
               }
             }
 
             @Override
             public void closed(Connection c) {
-              if (ownAttempt == attempt) {
+              if (ownAttempt == currentAttempt) {
                 OutboundLink.this.closed(c);
               }
             }
@@ -252,7 +252,7 @@
               new Hello(
                   settings.label(),
                   incarnation.getAsLong(),
-                  ++lastSession,
+                  ++lastSessionNumber,
                   FrameCodec.PRODUCTION_SCHEMA_FINGERPRINT)));
     }
 
@@ -265,7 +265,7 @@
         end("it sent a broken frame: " + e.getMessage());
         return;
       }
-      lastReceivedAt = loop.millis();
+      lastReceivedAtMillis = loop.millis();
       if (message instanceof Welcome welcome && state == OutboundState.HANDSHAKING) {
         incarnationId = welcome.label + "#" + welcome.incarnation;
         transitionTo(OutboundState.LIVE);
@@ -276,19 +276,19 @@
 
     @Override
     public void closed(Connection c) {
-      attempt++;
+      currentAttempt++;
       connection = null;
       transitionTo(OutboundState.DISCONNECTED);
     }
 
-    void end(String why) {
-      log.debug("outbound peer link closed peer={} reason=\"{}\"", peer.label(), why);
-      attempt++;
-      Connection old = connection;
+    void end(String reason) {
+      log.debug("outbound peer link closed peer={} reason=\"{}\"", peer.label(), reason);
+      currentAttempt++;
+      Connection oldConnection = connection;
       connection = null;
       transitionTo(OutboundState.DISCONNECTED);
-      if (old != null) {
-        old.close();
+      if (oldConnection != null) {
+        oldConnection.close();
       }
     }
   }
@@ -296,15 +296,15 @@
   /** A link that a peer dialled. */
   private final class InboundLink implements PeerTransport.Handler {
     private Connection connection;
-    private String label = "";
+    private String peerLabel = "";
     private Hello hello;
-    private long lastReceivedAt;
+    private long lastReceivedAtMillis;
     private boolean ended;
 
     @Override
     public void opened(Connection c) {
       connection = c;
-      lastReceivedAt = loop.millis();
+      lastReceivedAtMillis = loop.millis();
     }
 
     @Override
@@ -319,60 +319,62 @@
         end("it sent a broken frame: " + e.getMessage());
         return;
       }
-      lastReceivedAt = loop.millis();
+      lastReceivedAtMillis = loop.millis();
       if (hello == null) {
-        acceptHello(message);
+        handleHello(message);
       } else {
-        requestHandler.handleRequest(label, message, this::answer);
+        requestHandler.handleRequest(peerLabel, message, this::sendToPeer);
       }
     }
 
-    private void answer(Object message) {
+    private void sendToPeer(Object message) {
       if (!ended) {
         connection.send(codec.encode(message));
       }
     }
 
-    private void acceptHello(Object message) {
+    private void handleHello(Object message) {
       if (!(message instanceof Hello received)
           || received.fingerprint != FrameCodec.PRODUCTION_SCHEMA_FINGERPRINT
           || !outbound.containsKey(received.label)) {
         end("it did not greet as a controller with the same schema");
         return;
       }
-      Hello known = newestHellos.get(received.label);
-      if (known != null
-          && (received.incarnation < known.incarnation
-              || (received.incarnation == known.incarnation
-                  && received.session <= known.session))) {
+      Hello newest = newestHellos.get(received.label);
+      if (newest != null
+          && (received.incarnation < newest.incarnation
+              || (received.incarnation == newest.incarnation
+                  && received.session <= newest.session))) {
         end("a newer link of " + received.label + " is known");
         return;
       }
       newestHellos.put(received.label, received);
-      InboundLink before = inbound.get(received.label);
-      if (before != null) {
-        before.end("a newer link took its place");
+      InboundLink olderLink = inbound.get(received.label);
+      if (olderLink != null) {
+        olderLink.end("a newer link took its place");
       }
       hello = received;
-      label = received.label;
-      inbound.put(label, this);
-      answer(new Welcome(settings.label(), incarnation.getAsLong()));
-      requestHandler.greeting().forEach(this::answer);
+      peerLabel = received.label;
+      inbound.put(peerLabel, this);
+      sendToPeer(new Welcome(settings.label(), incarnation.getAsLong()));
+      requestHandler.greeting().forEach(this::sendToPeer);
     }
 
     @Override
     public void closed(Connection c) {
       if (!ended) {
         ended = true;
-        inbound.remove(label, this);
+        inbound.remove(peerLabel, this);
       }
     }
 
-    void end(String why) {
+    void end(String reason) {
       log.info(
-          "inbound peer link closed peer={} reason=\"{}\"", label.isEmpty() ? "none" : label, why);
+          "inbound peer link closed peer={} reason=\"{}\"",
+          peerLabel.isEmpty() ? "none" : peerLabel,
+          reason);
       ended = true;
-      inbound.remove(label, this);
+      inbound.remove(peerLabel, this);
       connection.close();
     }
   }
--- a/src/main/java/org/sandford/runtime/CallbackGuard.java
+++ b/src/main/java/org/sandford/runtime/CallbackGuard.java
@@ -8,18 +8,18 @@
  * loop.
  */
 public final class CallbackGuard {
-  private long attempt;
+  private long currentAttempt;
 
   /** Begins a new attempt; callbacks of earlier ones do nothing from now on. */
   public void beginAttempt() {
-    attempt++;
+    currentAttempt++;
   }
 
   /** A callback for an answer that counts only while the current attempt lasts. */
   public <T> Consumer<T> guard(Consumer<T> callback) {
-    long guardedAttempt = attempt;
+    long attemptAtGuard = currentAttempt;
     return answer -> {
-      if (guardedAttempt == attempt) {
+      if (attemptAtGuard == currentAttempt) {
         callback.accept(answer);
       }
     };
@@ -27,9 +27,9 @@
 
   /** A task that runs only while the current attempt lasts. */
   public Runnable guardTask(Runnable task) {
-    long guardedAttempt = attempt;
+    long attemptAtGuard = currentAttempt;
     return () -> {
-      if (guardedAttempt == attempt) {
+      if (attemptAtGuard == currentAttempt) {
         task.run();
       }
     };
--- a/src/main/java/org/sandford/runtime/HttpTransport.java
+++ b/src/main/java/org/sandford/runtime/HttpTransport.java
@@ -38,5 +38,5 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Consumer<Reply> done);
+      Consumer<Reply> onReply);
 }
--- a/src/main/java/org/sandford/runtime/MonotonicTime.java
+++ b/src/main/java/org/sandford/runtime/MonotonicTime.java
@@ -21,9 +21,9 @@
     return new MonotonicTime(true, nanos);
   }
 
-  /** The reading of the clock at this moment, or {@code otherwise} for {@link #NEVER}. */
-  public long nanosOr(long otherwise) {
-    return happened ? nanos : otherwise;
+  /** The reading of the clock at this moment, or {@code fallbackNanos} for {@link #NEVER}. */
+  public long nanosOr(long fallbackNanos) {
+    return happened ? nanos : fallbackNanos;
   }
 
   /** The earlier of two moments. */
--- a/src/main/java/org/sandford/runtime/PeerTransport.java
+++ b/src/main/java/org/sandford/runtime/PeerTransport.java
@@ -29,5 +29,5 @@
   void dial(String address, Handler handler);
 
   /** Accepts connections, each with a handler of its own. */
-  void listen(Supplier<Handler> handlers);
+  void listen(Supplier<Handler> handlerFactory);
 }
--- a/src/main/java/org/sandford/runtime/TokenBucket.java
+++ b/src/main/java/org/sandford/runtime/TokenBucket.java
@@ -9,27 +9,27 @@
  */
 public final class TokenBucket {
   private final EventLoop loop;
-  private final double perSecond;
+  private final double tokensPerSecond;
   private double tokens;
-  private long filledAt;
+  private long refilledAtNanos;
 
-  /** Makes a full bucket that gains {@code perSecond} tokens a second. */
-  public TokenBucket(EventLoop loop, double perSecond) {
+  /** Makes a full bucket that gains {@code tokensPerSecond} tokens a second. */
+  public TokenBucket(EventLoop loop, double tokensPerSecond) {
     this.loop = loop;
-    this.perSecond = perSecond;
+    this.tokensPerSecond = tokensPerSecond;
     this.tokens = most();
-    this.filledAt = loop.nanos();
+    this.refilledAtNanos = loop.nanos();
   }
 
-  private void fill() {
-    long now = loop.nanos();
-    tokens = Math.min(most(), tokens + perSecond * (now - filledAt) / 1e9);
-    filledAt = now;
+  private void refill() {
+    long nowNanos = loop.nanos();
+    tokens = Math.min(most(), tokens + tokensPerSecond * (nowNanos - refilledAtNanos) / 1e9);
+    refilledAtNanos = nowNanos;
   }
 
   /** The most tokens that it can hold. */
   public double most() {
-    return Math.max(1, perSecond);
+    return Math.max(1, tokensPerSecond);
   }
 
   /**
@@ -37,29 +37,29 @@
    * and those that follow wait for the rest.
    */
   public boolean allows(double count) {
-    return holds(sufficientFor(count));
+    return holds(requiredTokens(count));
   }
 
   /** Whether at least {@code count} tokens are left. */
   public boolean holds(double count) {
-    fill();
+    refill();
     return tokens >= count;
   }
 
-  private double sufficientFor(double count) {
+  private double requiredTokens(double count) {
     return Math.min(count, Math.max(1, most() * StoreConstants.BUCKET_SUFFICIENT_SHARE));
   }
 
   /** Takes the tokens; a negative balance delays what follows. */
   public void take(double count) {
-    fill();
+    refill();
     tokens -= count;
   }
 
   /** Milliseconds until a request for {@code count} tokens may go. */
   public long waitMillis(double count) {
-    fill();
-    double missing = sufficientFor(count) - tokens;
-    return missing <= 0 ? 0 : (long) Math.ceil(missing * 1000 / perSecond);
+    refill();
+    double missingTokens = requiredTokens(count) - tokens;
+    return missingTokens <= 0 ? 0 : (long) Math.ceil(missingTokens * 1000 / tokensPerSecond);
   }
 }
