--- a/src/main/java/org/sandford/constants/PeerConstants.java
+++ b/src/main/java/org/sandford/constants/PeerConstants.java
@@ -1,6 +1,6 @@
 package org.sandford.constants;
 
-/** Links between controllers. */
+/** Limits and intervals of the links between controllers. */
 public final class PeerConstants {
   private PeerConstants() {}
 
@@ -13,17 +13,17 @@
   /** Milliseconds between two attempts to dial a peer. */
   public static final int PEER_REDIAL_MS = 500;
 
-  /** Milliseconds allowed for a connection to be made, inside the cluster. */
+  /** Milliseconds allowed for connecting inside the cluster. */
   public static final int CONNECT_TIMEOUT_MS = 1_000;
 
   /**
-   * Bytes of the largest frame taken from a peer: the snapshots of a whole shard fit many times.
+   * Bytes of the largest frame accepted from a peer; the snapshots of a whole shard fit many times.
    */
   public static final int PEER_MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-  /** Frames written to a peer in one go before they leave in any case: a burst of starts fits. */
+  /** Frames written to a peer before a flush is forced; a burst of task starts fits. */
   public static final int PEER_MAX_FRAMES_PER_FLUSH = 256;
 
-  /** Bytes queued for a peer that does not read, after which the link is closed. */
+  /** Bytes queued for a peer that does not read, above which the connection is closed. */
   public static final int PEER_MAX_BACKLOG_BYTES = 2 * 1024 * 1024;
 }
--- a/src/main/java/org/sandford/net/NettyHttpClient.java
+++ b/src/main/java/org/sandford/net/NettyHttpClient.java
@@ -34,13 +34,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * HTTP client with a connection pool per address; one request at a time on each connection, none
- * pipelined. Workers are many and sockets few, so the connections to workers are limited: at the
- * limit, the connection that was idle the longest is closed, and requests wait in order until one
- * may be opened. Connections to the services do not count.
+ * HTTP client with a connection pool per address; each connection carries one request at a time,
+ * without pipelining. Workers may outnumber sockets, so the connections to workers are limited: at
+ * the limit, the connection that was idle the longest is closed, and requests wait in order until
+ * one may be opened. Connections to the store and the cloud do not count.
  *
  * <p>Each request gets exactly one reply: the response, {@link HttpTransport.Reply#NOT_SENT} if it
- * surely was not sent, or {@link HttpTransport.Reply#UNKNOWN}. Runs on the event loop.
+ * certainly was not sent, or {@link HttpTransport.Reply#UNKNOWN}. Runs on the event loop.
  */
 public final class NettyHttpClient implements HttpTransport {
   private static final Logger log = LoggerFactory.getLogger(NettyHttpClient.class);
@@ -58,9 +58,9 @@
   private int workerConnections;
 
   /**
-   * A client without connections.
+   * Creates a client without connections.
    *
-   * @param serviceAddresses the addresses that are not workers
+   * @param serviceAddresses the addresses of the store and the cloud; all others count as workers
    * @param maxWorkerConnections the most connections to workers that are open at a time
    */
   public NettyHttpClient(NettyLoop loop, Set<String> serviceAddresses, int maxWorkerConnections) {
@@ -119,7 +119,7 @@
       waitingConnects.pollFirst().run();
     }
     if (!waitingConnects.isEmpty() && !idleWorkerConnections.isEmpty()) {
-      // Once it is closed, the next request may connect.
+      // When it has closed, the next request may connect.
       Connection longestIdle = idleWorkerConnections.iterator().next();
       idleWorkerConnections.remove(longestIdle);
       Channels.close(longestIdle.channel);
@@ -175,7 +175,7 @@
     }
     connection.channel = future.channel();
     if (call.finished) {
-      // The caller got NOT_SENT at its timeout, so the request may not be sent any more.
+      // The caller got NOT_SENT at its timeout, so the request must not be sent any more.
       request.release();
       connection.returnToPool();
     } else {
@@ -183,7 +183,7 @@
     }
   }
 
-  /** One request; answered exactly once. */
+  /** A request; calls back exactly once. */
   private static final class Call {
     private final Consumer<Reply> onReply;
     private Connection connection;
@@ -217,7 +217,7 @@
         try {
           onReply.accept(reply);
         } catch (RuntimeException e) {
-          // An exception of the receiver must not be handled as a broken connection.
+          // An exception of the callback must not be handled as a broken connection.
           log.error("response handling failed", e);
         }
       }
--- a/src/main/java/org/sandford/net/NettyHttpServer.java
+++ b/src/main/java/org/sandford/net/NettyHttpServer.java
@@ -34,17 +34,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * HTTP server for users, workers and health checks; one function handles all requests, and may
- * answer later.
+ * HTTP server for users, workers and health checks; one handler answers all requests, at once or
+ * later.
  *
- * <p>Connections are limited, since a last remaining controller gets the heartbeats of all workers.
- * Workers keep only a fraction of the connections; one above it is closed after its response. At
- * the limit, the connection that was idle the longest is closed, a worker's before a user's.
+ * <p>Connections are limited, since the last remaining controller gets the heartbeats of all
+ * workers. Workers may keep only a fraction of the connections; one above it is closed after its
+ * response. At the limit, the connection that was idle the longest is closed, a worker's before a
+ * user's.
  *
  * <p>Runs on the event loop.
  */
 public final class NettyHttpServer {
-  /** Answers a request by calling back once. */
+  /** Answers requests through a callback. */
   public interface Requests {
     /** Handles a request; {@code responder} must be called exactly once. */
     void handle(String method, String path, byte[] body, Consumer<ApiResponse> responder);
@@ -57,13 +58,15 @@
   private final int maxWorkerConnections;
   private final Set<Connection> connections = new LinkedHashSet<>();
 
-  /** Connections without a request under way, the one that was idle the longest first. */
+  /** Worker connections without a request in progress, the one idle the longest first. */
   private final Set<Connection> idleWorkerConnections = new LinkedHashSet<>();
 
+  /** User connections without a request in progress, the one idle the longest first. */
   private final Set<Connection> idleUserConnections = new LinkedHashSet<>();
+
   private int workerConnections;
 
-  /** A server for at most so many connections, which does not listen yet. */
+  /** Creates a server for at most {@code maxConnections}, which does not listen yet. */
   public NettyHttpServer(NettyLoop loop, int maxConnections, Requests requestHandler) {
     this.loop = loop;
     this.maxConnections = maxConnections;
@@ -72,7 +75,7 @@
   }
 
   /**
-   * Listens from now on; blocks until the port is bound.
+   * Starts listening; blocks until the port is bound.
    *
    * @throws IllegalStateException if the port cannot be bound
    */
@@ -119,7 +122,8 @@
   }
 
   /**
-   * Collects bodies; one that is too large is a malformed request (400), and ends the connection.
+   * Collects bodies; refuses one that is too large as a malformed request (400) and closes the
+   * connection.
    */
   private static final class BodyAggregator extends HttpObjectAggregator {
     BodyAggregator() {
@@ -158,7 +162,7 @@
       channel = ctx.channel();
       if (connections.size() >= maxConnections) {
         closeLongestIdle();
-        // Its request is answered in any case; then the connection is closed.
+        // The new connection still gets one response, and is closed after it.
         closeAfterResponse = true;
       }
       connections.add(this);
@@ -182,7 +186,7 @@
       }
     }
 
-    /** Whether the connection stays open after an answer. */
+    /** Marks the connection as idle and returns true, unless it must close after its response. */
     private boolean markIdleUnlessClosing() {
       if (closeAfterResponse || (usedByWorker && workerConnections > maxWorkerConnections)) {
         return false;
--- a/src/main/java/org/sandford/net/NettyLoop.java
+++ b/src/main/java/org/sandford/net/NettyLoop.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The event loop of a running controller: one Netty thread for everything. */
+/** The event loop of a running controller: one Netty thread for all work. */
 public final class NettyLoop implements EventLoop {
   private static final Logger log = LoggerFactory.getLogger(NettyLoop.class);
   private final NioEventLoopGroup group =
@@ -52,7 +52,7 @@
     loop.execute(loggingExceptions(task));
   }
 
-  /** Ends the thread after at most a second; for the end of the process. */
+  /** Stops the thread within a second; called when the process ends. */
   @SuppressWarnings("FutureReturnValueIgnored") // The process ends; nobody waits for its threads.
   public void shutdown() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -60,7 +60,7 @@
 
   /**
    * Batches events under load: a wake-up costs far more than one more event in the same batch, and
-   * the heartbeats of many workers come one by one. While few come, each is handled at once.
+   * the heartbeats of many workers arrive one by one. Under low load, events are handled at once.
    */
   private static final class BatchingSelectStrategy implements SelectStrategy {
     private long lastWaitAtNanos = System.nanoTime();
@@ -83,7 +83,7 @@
     }
   }
 
-  /** An exception in one event is logged, and ends neither the loop nor a repeating timer. */
+  /** Wraps a task so that an exception is logged and ends neither the loop nor a periodic task. */
   private static Runnable loggingExceptions(Runnable task) {
     return () -> {
       try {
--- a/src/main/java/org/sandford/net/NettyPeers.java
+++ b/src/main/java/org/sandford/net/NettyPeers.java
@@ -25,15 +25,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Connections between controllers over TCP, each frame preceded by its length. A connection whose
- * peer does not read is closed. Runs on the event loop.
+ * Connections between controllers over TCP; each frame is preceded by its length in four bytes. A
+ * connection whose peer does not read is closed. Runs on the event loop.
  */
 public final class NettyPeers implements PeerTransport {
   private static final Logger log = LoggerFactory.getLogger(NettyPeers.class);
   private final NettyLoop loop;
   private final InetSocketAddress listenAddress;
 
-  /** Listens on this address when told to. */
+  /** Creates a transport that listens on this address once {@link #listen} is called. */
   public NettyPeers(NettyLoop loop, String host, int port) {
     this.loop = loop;
     this.listenAddress = new InetSocketAddress(host, port);
--- a/src/main/java/org/sandford/peer/FrameCodec.java
+++ b/src/main/java/org/sandford/peer/FrameCodec.java
@@ -11,14 +11,14 @@
 import org.sandford.peer.wire.Frame;
 
 /**
- * Frames in Avro's binary encoding. Both ends must have the same format, which the handshake checks
- * by fingerprint. Not thread-safe: an instance belongs to one event loop.
+ * Encodes and decodes frames in Avro's binary encoding. Both ends must use the same schema; the
+ * handshake compares its fingerprint. Not thread-safe: an instance belongs to one event loop.
  */
 public final class FrameCodec {
   /**
-   * Fingerprint of the schema in production, under the names that it had there. The bytes carry no
-   * names, so the types of this program may have others; that they describe the same bytes is held
-   * by {@code ProductionWireTest}.
+   * Fingerprint of the production schema, which uses other names than this program. Encoded frames
+   * carry no names, so the two versions understand each other; {@code ProductionWireTest} checks
+   * that both schemas describe the same bytes.
    */
   public static final long PRODUCTION_SCHEMA_FINGERPRINT = 0xd0f6fd519bbc5261L;
 
@@ -27,7 +27,7 @@
   private BinaryEncoder encoder;
   private BinaryDecoder decoder;
 
-  /** The frame of one message, which must be of a type in the schema of {@code Frame}. */
+  /** Encodes one message, which must be of a type in the schema of {@code Frame}. */
   public byte[] encode(Object message) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(256);
     encoder = EncoderFactory.get().binaryEncoder(out, encoder);
@@ -41,7 +41,7 @@
   }
 
   /**
-   * The message of a frame.
+   * Decodes the message of a frame.
    *
    * @throws IOException if the bytes are not exactly one message
    */
--- a/src/main/java/org/sandford/peer/PeerLinks.java
+++ b/src/main/java/org/sandford/peer/PeerLinks.java
@@ -18,37 +18,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The links between controllers. Each dials every other: requests go out on the outbound link, and
- * responses and machine snapshots come back on it. A controller reaches itself through the same
- * calls.
+ * Manages the links between this controller and the others. Each controller dials every other: it
+ * sends requests on the outbound link, and receives responses and machine snapshots on the same
+ * link. Requests to the controller itself go through the same methods.
  *
- * <p>A newer link from the same peer ends the older one before anything of it is read, so frames
- * that a network partition held back on an old connection change nothing. Messages of one link
- * arrive in order; those that were sent when a link ends may be lost without notice.
+ * <p>A newer link from a peer closes the older one before a request on the newer one is handled, so
+ * frames that a network partition delayed on the old connection have no effect. Messages of one
+ * link arrive in order; those in flight when a link closes may be lost without notice.
  *
  * <p>Runs on the event loop.
  */
 public final class PeerLinks {
   private static final Logger log = LoggerFactory.getLogger(PeerLinks.class);
 
-  /** Handles the requests of other controllers, and of this one to itself. */
+  /** Handles requests of other controllers, and those of this controller to itself. */
   public interface RequestHandler {
     /** Handles a request; {@code reply} may be called any number of times, also later. */
     void handleRequest(String sender, Object request, Consumer<Object> reply);
 
-    /** The messages that a peer needs first on a new link. */
+    /** Returns the messages to send to a peer first on a new link. */
     Iterable<Object> greeting();
   }
 
-  /** Handles responses, and what other controllers publish. */
+  /** Handles responses, published messages and changes of the links that carry requests. */
   public interface ResponseHandler {
     /** Handles a response or a published message. */
     void handleResponse(String sender, Object response);
 
-    /** Requests to the peer are sent from now on. */
+    /** Called when the link is up: requests to the peer are sent from now on. */
     void linkUp(String peer);
 
-    /** Requests to the peer are refused from now on. */
+    /** Called when the link is down: requests to the peer are refused from now on. */
     void linkDown(String peer);
   }
 
@@ -68,18 +68,20 @@
   private final Map<String, OutboundLink> outbound = new LinkedHashMap<>();
   private final Map<String, InboundLink> inbound = new LinkedHashMap<>();
 
-  /** The newest greeting of each peer, kept when its link ends: a late older one stays refused. */
+  /** Newest Hello of each peer, kept after its link closes, so that a late older one is refused. */
   private final Map<String, Hello> newestHellos = new LinkedHashMap<>();
 
   private RequestHandler requestHandler;
   private ResponseHandler responseHandler;
+
+  /** Number of the last Hello sent; within an incarnation, a peer accepts only rising numbers. */
   private long lastSessionNumber;
 
   /**
-   * Links to the other controllers that the settings name.
+   * Creates links to the other controllers that the settings name.
    *
-   * @param incarnation the incarnation of this controller; 0 until it has one, and nothing is
-   *     dialled before
+   * @param incarnation supplies the number of this controller's incarnation; 0 until it has one,
+   *     and no peer is dialled until then
    */
   public PeerLinks(
       EventLoop loop, Settings settings, PeerTransport transport, LongSupplier incarnation) {
@@ -92,7 +94,7 @@
     }
   }
 
-  /** Listens and dials; the handlers get all that arrives from now on. */
+  /** Starts listening and dialling; the handlers receive all messages from now on. */
   public void start(RequestHandler requests, ResponseHandler responses) {
     requestHandler = requests;
     responseHandler = responses;
@@ -112,7 +114,7 @@
     return label.equals(settings.label());
   }
 
-  /** Whether requests to the controller are sent; always so for this one. */
+  /** Returns whether requests to the controller are sent; always true for this controller. */
   public boolean isLive(String label) {
     if (isSelf(label)) {
       return true;
@@ -121,18 +123,18 @@
     return link != null && link.state == OutboundState.LIVE;
   }
 
-  /** The incarnation of the peer at the handshake of the last link to it, or an empty text. */
+  /** Returns the peer's incarnation id in the last handshake on a link to it, or an empty text. */
   public String incarnationIdOf(String label) {
     OutboundLink link = outbound.get(label);
     return link == null ? "" : link.incarnationId;
   }
 
-  /** Whether any other controller can be reached. */
+  /** Returns whether the link to any other controller is live. */
   public boolean anyLive() {
     return outbound.values().stream().anyMatch(link -> link.state == OutboundState.LIVE);
   }
 
-  /** Sends a request, without any guarantee that it arrives; false when there is no live link. */
+  /** Sends a request, which may still be lost; returns false if no link to the receiver is live. */
   public boolean request(String label, Object request) {
     if (isSelf(label)) {
       loop.execute(
@@ -151,7 +153,7 @@
     return true;
   }
 
-  /** Sends a request to all other controllers with a live link. */
+  /** Sends a request to every other controller to which a link is live. */
   public void requestAll(Object request) {
     byte[] frame = codec.encode(request);
     outbound.values().stream()
@@ -159,7 +161,7 @@
         .forEach(link -> link.connection.send(frame));
   }
 
-  /** Sends a message to all controllers with a link to this one, and to this one. */
+  /** Sends a message to every controller that has a link to this one, and to this one. */
   public void publish(Object message) {
     if (!inbound.isEmpty()) {
       byte[] frame = codec.encode(message);
@@ -214,7 +216,7 @@
       transitionTo(OutboundState.CONNECTING);
       lastReceivedAtMillis = loop.millis();
       int ownAttempt = ++currentAttempt;
-      // Each attempt has a handler of its own, so a late event of an older one changes nothing.
+      // Each attempt has its own handler, so that a late event of an older attempt has no effect.
       transport.dial(
           peer.address().toString(),
           new PeerTransport.Handler() {
@@ -379,7 +381,7 @@
     }
   }
 
-  /** A snapshot update without machines, which keeps a link from timing out. */
+  /** Creates a snapshot update without machines, which keeps a link from timing out. */
   public static SnapshotUpdate heartbeat(boolean sessionLeaseValid) {
     return new SnapshotUpdate(false, List.of(), List.of(), sessionLeaseValid);
   }
--- a/src/main/java/org/sandford/runtime/CallbackGuard.java
+++ b/src/main/java/org/sandford/runtime/CallbackGuard.java
@@ -3,9 +3,8 @@
 import java.util.function.Consumer;
 
 /**
- * Drops callbacks that outlive what they were started for: each belongs to the attempt that was
- * current when it was guarded, and does nothing once a later attempt has begun. Runs on the event
- * loop.
+ * Drops callbacks of superseded attempts: a callback belongs to the attempt that was current when
+ * it was guarded, and does nothing once a later attempt has begun. Runs on the event loop.
  */
 public final class CallbackGuard {
   private long currentAttempt;
@@ -15,7 +14,7 @@
     currentAttempt++;
   }
 
-  /** A callback for an answer that counts only while the current attempt lasts. */
+  /** Wraps a callback so that it runs only while the current attempt lasts. */
   public <T> Consumer<T> guard(Consumer<T> callback) {
     long attemptAtGuard = currentAttempt;
     return answer -> {
@@ -25,7 +24,7 @@
     };
   }
 
-  /** A task that runs only while the current attempt lasts. */
+  /** Wraps a task so that it runs only while the current attempt lasts. */
   public Runnable guardTask(Runnable task) {
     long attemptAtGuard = currentAttempt;
     return () -> {
--- a/src/main/java/org/sandford/runtime/HttpTransport.java
+++ b/src/main/java/org/sandford/runtime/HttpTransport.java
@@ -5,21 +5,21 @@
 /** Sends HTTP requests to the store, the cloud and the workers. */
 public interface HttpTransport {
   /**
-   * A response, or how it failed to come: with {@link #UNKNOWN} the request may have been, or may
-   * yet be, carried out; with {@link #NOT_SENT} it never left.
+   * A response, or why there is none: after {@link #UNKNOWN} the request may have been, or may yet
+   * be, carried out; after {@link #NOT_SENT} it was never sent.
    *
    * @param status the HTTP status, or one of the two constants
-   * @param body the body; empty without a response
+   * @param body the response's body; empty without a response
    */
   @SuppressWarnings("ArrayRecordComponent") // Replies are read once and never compared.
   record Reply(int status, byte[] body) {
-    /** No response in time, or the connection broke. */
+    /** The response did not arrive in time, or the connection broke. */
     public static final int UNKNOWN = 0;
 
-    /** No connection, or no rate to spare; the receiver has seen nothing. */
+    /** No connection was made, or the rate limit was reached; the receiver got nothing. */
     public static final int NOT_SENT = -1;
 
-    /** Whether the status is 200. */
+    /** Returns whether the status is 200. */
     public boolean ok() {
       return status == 200;
     }
@@ -30,7 +30,8 @@
    *
    * @param address host and port
    * @param body the request's body, or null for none
-   * @param timeoutMs milliseconds until the request is given up with {@link Reply#UNKNOWN}
+   * @param timeoutMs milliseconds after which the reply is {@link Reply#UNKNOWN}, or {@link
+   *     Reply#NOT_SENT} if the request was not sent
    */
   void send(
       String address,
--- a/src/main/java/org/sandford/runtime/Json.java
+++ b/src/main/java/org/sandford/runtime/Json.java
@@ -10,24 +10,24 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** Reads and writes JSON trees; one shared mapper, usable from any thread. */
+/** Reads and writes JSON trees with one shared mapper. Thread-safe. */
 public final class Json {
   private static final ObjectMapper MAPPER =
       new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
   private Json() {}
 
-  /** An empty object. */
+  /** Creates an empty object. */
   public static ObjectNode object() {
     return MAPPER.createObjectNode();
   }
 
-  /** An empty array. */
+  /** Creates an empty array. */
   public static ArrayNode array() {
     return MAPPER.createArrayNode();
   }
 
-  /** The document, or a missing node when the bytes hold none. */
+  /** Parses a document; returns a missing node if the bytes are not exactly one. */
   public static JsonNode read(byte[] bytes) {
     try {
       JsonNode node = MAPPER.readTree(bytes);
@@ -37,12 +37,12 @@
     }
   }
 
-  /** The document, or a missing node when the text holds none. */
+  /** Parses a document; returns a missing node if the text is not exactly one. */
   public static JsonNode read(String text) {
     return read(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The document in UTF-8. */
+  /** Encodes the document in UTF-8. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -51,7 +51,7 @@
     }
   }
 
-  /** The document as compact text. */
+  /** Formats the document without whitespace. */
   public static String text(JsonNode node) {
     return node.toString();
   }
--- a/src/main/java/org/sandford/runtime/PeerTransport.java
+++ b/src/main/java/org/sandford/runtime/PeerTransport.java
@@ -2,32 +2,32 @@
 
 import java.util.function.Supplier;
 
-/** Connections between controllers that carry whole frames. */
+/** Opens and accepts connections between controllers, which carry whole frames. */
 public interface PeerTransport {
-  /** One connection; frames arrive whole and in order, or not at all. */
+  /** A connection; frames arrive whole and in order, or not at all. */
   interface Connection {
-    /** Sends a frame; one on a closed connection is dropped. */
+    /** Sends a frame; drops it if the connection is closed. */
     void send(byte[] frame);
 
-    /** Closes the connection; its handler is notified. */
+    /** Closes the connection and notifies its handler. */
     void close();
   }
 
   /** Receives the events of one connection, on the event loop. */
   interface Handler {
-    /** The connection is open. */
+    /** Called when the connection is open. */
     void opened(Connection connection);
 
-    /** A whole frame arrived. */
+    /** Called when a whole frame has arrived. */
     void frame(Connection connection, byte[] frame);
 
-    /** Also called when a dialled connection could not be made; {@code connection} is then null. */
+    /** Called when the connection is closed, or with null when a dialled one could not be made. */
     void closed(Connection connection);
   }
 
-  /** Opens a connection to a host and port. */
+  /** Opens a connection to a host and port, given as {@code host:port}. */
   void dial(String address, Handler handler);
 
-  /** Accepts connections, each with a handler of its own. */
+  /** Accepts connections; each gets its own handler. */
   void listen(Supplier<Handler> handlerFactory);
 }
--- a/src/main/java/org/sandford/runtime/TokenBucket.java
+++ b/src/main/java/org/sandford/runtime/TokenBucket.java
@@ -3,9 +3,8 @@
 import org.sandford.constants.StoreConstants;
 
 /**
- * A token bucket that holds one second's worth of tokens, on the event loop's clock. Its balance
- * may become negative, so that large requests are not starved by small ones. Belongs to the event
- * loop.
+ * A token bucket that holds one second's worth of tokens, by the event loop's clock. Its balance
+ * may become negative, so that small requests do not starve large ones. Runs on the event loop.
  */
 public final class TokenBucket {
   private final EventLoop loop;
@@ -13,7 +12,7 @@
   private double tokens;
   private long refilledAtNanos;
 
-  /** Makes a full bucket that gains {@code tokensPerSecond} tokens a second. */
+  /** Creates a full bucket that gains {@code tokensPerSecond} tokens a second. */
   public TokenBucket(EventLoop loop, double tokensPerSecond) {
     this.loop = loop;
     this.tokensPerSecond = tokensPerSecond;
@@ -27,20 +26,20 @@
     refilledAtNanos = nowNanos;
   }
 
-  /** The most tokens that it can hold. */
+  /** Returns the most tokens that the bucket can hold. */
   public double most() {
     return Math.max(1, tokensPerSecond);
   }
 
   /**
-   * Whether a request for {@code count} tokens may go now. A large one needs only a part of them,
-   * and those that follow wait for the rest.
+   * Returns whether a request for {@code count} tokens may be sent now. A large request needs only
+   * part of its tokens; the requests after it wait for the rest.
    */
   public boolean allows(double count) {
     return holds(requiredTokens(count));
   }
 
-  /** Whether at least {@code count} tokens are left. */
+  /** Returns whether at least {@code count} tokens are left. */
   public boolean holds(double count) {
     refill();
     return tokens >= count;
@@ -50,13 +49,13 @@
     return Math.min(count, Math.max(1, most() * StoreConstants.BUCKET_SUFFICIENT_SHARE));
   }
 
-  /** Takes the tokens; a negative balance delays what follows. */
+  /** Takes the tokens; a negative balance delays the requests that follow. */
   public void take(double count) {
     refill();
     tokens -= count;
   }
 
-  /** Milliseconds until a request for {@code count} tokens may go. */
+  /** Returns the milliseconds until a request for {@code count} tokens may be sent. */
   public long waitMillis(double count) {
     refill();
     double missingTokens = requiredTokens(count) - tokens;
--- a/src/test/java/org/sandford/peer/FrameCodecTest.java
+++ b/src/test/java/org/sandford/peer/FrameCodecTest.java
@@ -34,7 +34,7 @@
       try {
         codec.decode(randomBytes);
       } catch (IOException expected) {
-        // The only way a frame may be refused.
+        // The only exception that a broken frame may cause.
       }
     }
   }
--- a/src/test/java/org/sandford/peer/ProductionWireTest.java
+++ b/src/test/java/org/sandford/peer/ProductionWireTest.java
@@ -26,9 +26,9 @@
 import org.sandford.peer.wire.Welcome;
 
 /**
- * The frames of the version in production, byte by byte. Both versions run side by side in an
- * upgrade, and production turns a link with any other schema away; so the schema must not change
- * while it may still run.
+ * Compares encoded frames with those of the production version, byte by byte. Both versions run
+ * side by side during an upgrade, and production refuses a link with any other schema; so the
+ * schema must not change while production may still run.
  */
 class ProductionWireTest {
   private static final long PRODUCTION_FINGERPRINT = 0xd0f6fd519bbc5261L;
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Under the names that it had in production, each type, field and symbol stands in the same place
-   * with the same type.
+   * The current schema has the same types, fields and symbols as the production schema, in the same
+   * order; only names differ.
    */
   @Test
   void schemaEqualsTheRenamedProductionSchema() throws IOException {
--- a/src/test/java/org/sandford/peer/SchemaRenamer.java
+++ b/src/test/java/org/sandford/peer/SchemaRenamer.java
@@ -7,8 +7,8 @@
 import org.apache.avro.Schema;
 
 /**
- * Copies an Avro schema under other names. The names to change are given as {@code Type=Name} and
- * {@code Type.fieldOrSymbol=name}; all others stay.
+ * Copies an Avro schema and changes names in the copy. The new names are given as {@code
+ * Type=NewName} and {@code Type.fieldOrSymbol=newName}, by old name; all other names stay.
  */
 final class SchemaRenamer {
   private final Properties newNames;
