--- a/src/main/java/org/sandford/net/NettyHttpClient.java
+++ b/src/main/java/org/sandford/net/NettyHttpClient.java
@@ -102,7 +102,7 @@
       Connection connection = idleConnections.pollLast();
       idleWorkerConnections.remove(connection);
       if (connection.channel.isActive()) {
-        connection.start(call, request);
+        connection.sendRequest(call, request);
         return;
       }
     }
@@ -179,7 +179,7 @@
       request.release();
       connection.returnToPool();
     } else {
-      connection.start(call, request);
+      connection.sendRequest(call, request);
     }
   }
 
@@ -233,7 +233,7 @@
       this.address = address;
     }
 
-    void start(Call newCall, FullHttpRequest request) {
+    void sendRequest(Call newCall, FullHttpRequest request) {
       call = newCall;
       newCall.connection = this;
       Channels.send(channel, request);
--- a/src/main/java/org/sandford/net/NettyHttpServer.java
+++ b/src/main/java/org/sandford/net/NettyHttpServer.java
@@ -107,7 +107,7 @@
     }
   }
 
-  private static FullHttpResponse response(ApiResponse apiResponse) {
+  private static FullHttpResponse toHttpResponse(ApiResponse apiResponse) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
@@ -133,7 +133,7 @@
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
       FullHttpResponse refusal =
-          response(
+          toHttpResponse(
               ApiResponse.refuse(
                   HttpStatus.BAD_REQUEST,
                   "the body is larger than " + ApiConstants.MAX_BODY_BYTES + " bytes"));
@@ -217,7 +217,7 @@
         return;
       }
       boolean keepAlive = keepAliveRequested && markIdleUnlessClosing();
-      FullHttpResponse response = response(apiResponse);
+      FullHttpResponse response = toHttpResponse(apiResponse);
       if (!keepAlive) {
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
       }
--- a/src/main/java/org/sandford/peer/PeerLinks.java
+++ b/src/main/java/org/sandford/peer/PeerLinks.java
@@ -177,12 +177,12 @@
         link.dial();
       } else if (link.state != OutboundState.DISCONNECTED
           && nowMillis - link.lastReceivedAtMillis > PeerConstants.PEER_TIMEOUT_MS) {
-        link.end("no message in time");
+        link.close("no message in time");
       }
     }
     for (InboundLink link : List.copyOf(inbound.values())) {
       if (nowMillis - link.lastReceivedAtMillis > PeerConstants.PEER_TIMEOUT_MS) {
-        link.end("no message in time");
+        link.close("no message in time");
       }
     }
   }
@@ -264,7 +264,7 @@
       try {
         message = codec.decode(bytes);
       } catch (IOException e) {
-        end("it sent a broken frame: " + e.getMessage());
+        close("it sent a broken frame: " + e.getMessage());
         return;
       }
       lastReceivedAtMillis = loop.millis();
@@ -283,7 +283,7 @@
       transitionTo(OutboundState.DISCONNECTED);
     }
 
-    void end(String reason) {
+    void close(String reason) {
       log.debug("outbound peer link closed peer={} reason=\"{}\"", peer.label(), reason);
       currentAttempt++;
       Connection oldConnection = connection;
@@ -301,7 +301,7 @@
     private String peerLabel = "";
     private Hello hello;
     private long lastReceivedAtMillis;
-    private boolean ended;
+    private boolean isClosed;
 
     @Override
     public void opened(Connection c) {
@@ -311,14 +311,14 @@
 
     @Override
     public void frame(Connection c, byte[] bytes) {
-      if (ended) {
+      if (isClosed) {
         return;
       }
       Object message;
       try {
         message = codec.decode(bytes);
       } catch (IOException e) {
-        end("it sent a broken frame: " + e.getMessage());
+        close("it sent a broken frame: " + e.getMessage());
         return;
       }
       lastReceivedAtMillis = loop.millis();
@@ -330,7 +330,7 @@
     }
 
     private void sendToPeer(Object message) {
-      if (!ended) {
+      if (!isClosed) {
         connection.send(codec.encode(message));
       }
     }
@@ -339,7 +339,7 @@
       if (!(message instanceof Hello received)
           || received.fingerprint != FrameCodec.PRODUCTION_SCHEMA_FINGERPRINT
           || !outbound.containsKey(received.label)) {
-        end("it did not greet as a controller with the same schema");
+        close("it did not greet as a controller with the same schema");
         return;
       }
       Hello newest = newestHellos.get(received.label);
@@ -347,13 +347,13 @@
           && (received.incarnation < newest.incarnation
               || (received.incarnation == newest.incarnation
                   && received.session <= newest.session))) {
-        end("a newer link of " + received.label + " is known");
+        close("a newer link of " + received.label + " is known");
         return;
       }
       newestHellos.put(received.label, received);
       InboundLink olderLink = inbound.get(received.label);
       if (olderLink != null) {
-        olderLink.end("a newer link took its place");
+        olderLink.close("a newer link took its place");
       }
       hello = received;
       peerLabel = received.label;
@@ -364,18 +364,18 @@
 
     @Override
     public void closed(Connection c) {
-      if (!ended) {
-        ended = true;
+      if (!isClosed) {
+        isClosed = true;
         inbound.remove(peerLabel, this);
       }
     }
 
-    void end(String reason) {
+    void close(String reason) {
       log.info(
           "inbound peer link closed peer={} reason=\"{}\"",
           peerLabel.isEmpty() ? "none" : peerLabel,
           reason);
-      ended = true;
+      isClosed = true;
       inbound.remove(peerLabel, this);
       connection.close();
     }
